--- a/packages/gateway/gateway/decisions/batchorder.py
+++ b/packages/gateway/gateway/decisions/batchorder.py
@@ -1,28 +1,31 @@
-"""Which batch item is next, and which run gives its slot to online requests.
-
-The load: all VMs lost their power, or bursts of online requests took most
-slots, and more items wait than can be done before they are due. Slots that go
-from item to item leave all of them begun and none in time, so an item keeps
-its turn until it ends: the earliest due first, of those the one nearest to its
-end, and last those that cannot be in time any more.
+"""The order in which batch items get slots and lose them to online requests.
+
+After all VMs lost power, or after bursts of online requests took most slots,
+more items wait than can be finished before they are due. If slots moved from
+item to item, all items would be started and none finished in time. So an item
+keeps its turn until it ends: items that are due earliest come first, of those
+the ones that have run longest, and items that cannot be in time any more come
+last.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# Items due within so long of one another count as due at once.
+# Due times are rounded down to this step; items of one step count as due at the
+# same time.
 _DUE_STEP_S = 4.0
-# VMs ask again each 0.1 s for what waits.
-_FRESH_S = 0.3
+# How long a VM's list of waiting items counts. VMs repeat their requests every
+# 0.1 s.
+_WAITING_LIFETIME_S = 0.3
 
 
 class Standing(NamedTuple):
-    """What decides an item's turn.
+    """The values that decide the rank of a batch item.
 
     Attributes:
-        due_s: When its job is due, in seconds of the epoch.
-        done_s: How long it ran already, without what was lost.
-        is_late: Whether it cannot be in time any more.
+        due_s: When its job is due, in seconds since the epoch.
+        done_s: How long it has run, in seconds, without lost work.
+        is_late: Whether it cannot finish in time any more.
     """
 
     due_s: float = 0.0
@@ -30,69 +33,84 @@
     is_late: bool = False
 
     def after(self, ran_s: float) -> "Standing":
-        """Returns the standing once it has run for so much longer."""
+        """Returns the standing after the item ran for `ran_s` more seconds."""
         return self._replace(done_s=self.done_s + ran_s)
 
 
 class Rank(NamedTuple):
-    """An item's place; what is less comes first."""
+    """A sort key of a batch item; the least comes first.
+
+    Attributes:
+        is_late: Whether the item cannot finish in time any more.
+        due_step: When its job is due, in steps of `_DUE_STEP_S`.
+        negative_done_s: How long it has run, negated, so that the item that
+            has run longest comes first.
+    """
 
     is_late: bool
     due_step: int
-    not_done_s: float
+    negative_done_s: float
 
 
 def rank(standing: Standing) -> Rank:
-    """Returns the place that an item's standing gives it."""
+    """Returns the rank of an item with a given standing."""
     due_step = int(standing.due_s // _DUE_STEP_S)
     return Rank(standing.is_late, due_step, -standing.done_s)
 
 
-class _Asked(NamedTuple):
+class _VmItems(NamedTuple):
+    """The waiting items of one VM.
+
+    Attributes:
+        at_s: When the VM asked for slots, by the monotonic clock.
+        ranks: The ranks of the items.
+        excluded: Upstreams that the VM does not use.
+    """
+
     at_s: float
     ranks: tuple[Rank, ...]
     excluded: frozenset[str]
 
 
-class Waiting:
-    """The items that lately found no slot, by the VM that asked for them."""
+class WaitingItems:
+    """The batch items that recently got no slot, by VM."""
 
     def __init__(self) -> None:
-        self._asked: dict[str, _Asked] = {}
+        self._by_vm: dict[str, _VmItems] = {}
 
-    def note(
+    def replace(
         self,
         vm: str,
         ranks: Iterable[Rank],
         excluded: frozenset[str],
         now_s: float,
     ) -> None:
-        """Takes what a VM has left waiting, in place of what it had before.
+        """Replaces the waiting items of a VM.
 
         Args:
             vm: The VM.
-            ranks: Of its items.
-            excluded: Upstreams that it does not use.
-            now_s: By the monotonic clock.
+            ranks: The ranks of its waiting items.
+            excluded: Upstreams that the VM does not use.
+            now_s: The current time by the monotonic clock.
         """
-        self._asked[vm] = _Asked(now_s, tuple(ranks), excluded)
+        self._by_vm[vm] = _VmItems(now_s, tuple(ranks), excluded)
 
-    def ahead(
-        self, vm: str, own: Rank, free: frozenset[str], now_s: float
+    def count_ahead(
+        self, vm: str, own_rank: Rank, free: frozenset[str], now_s: float
     ) -> int:
-        """Returns how many items of other VMs come before one of a VM.
+        """Counts the waiting items of other VMs that rank before an item.
 
         Args:
-            vm: The VM.
-            own: The place of its item.
-            free: Upstreams with a free slot; who can use none of them holds
-                nobody up.
-            now_s: By the monotonic clock.
+            vm: The VM of the item.
+            own_rank: The rank of the item.
+            free: Upstreams with a free slot. Items of a VM that can use none
+                of them are not counted.
+            now_s: The current time by the monotonic clock.
         """
         return sum(
-            place < own
-            for other, asked in self._asked.items()
-            if other != vm and now_s - asked.at_s < _FRESH_S
-            if not free <= asked.excluded
-            for place in asked.ranks
+            item_rank < own_rank
+            for other, items in self._by_vm.items()
+            if other != vm and now_s - items.at_s < _WAITING_LIFETIME_S
+            if not free <= items.excluded
+            for item_rank in items.ranks
         )
--- a/packages/gateway/gateway/decisions/outliers.py
+++ b/packages/gateway/gateway/decisions/outliers.py
@@ -1,4 +1,4 @@
-"""Which upstreams fail more requests than the others, by their answers."""
+"""Detection of upstreams that fail more requests than the others."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,151 +7,165 @@
 
 _events = eventlog.Events("outliers")
 
-# What was seen counts half as much after so long.
+# The weight of an answer halves in this time.
 _HALF_LIFE_S = 2.0
-# Failures that make an outlier: three at once are no chance at the few in a
-# hundred that a sound upstream may fail.
-_MIN_FAILED = 2.5
-_MIN_SHARE = 0.3
-# How many times the share of failures among all others: what fails everywhere
-# is a fault of the requests or of the way.
-_TIMES_OTHERS = 3.0
-# The first time out, and the longest; each in a row is twice as long. One that
-# fails for good costs a request each time, one that is back and still out costs
-# its part of the room.
-_FIRST_OUT_S = 1.0
-_MAX_OUT_S = 3.0
-# Part of the upstreams that may be out; the rest could not take the load of
-# more, and a judgement that finds most of them bad is wrong.
-_MAX_OUT_SHARE = 0.3
-# Answers in a row with which one on trial is back.
-_TRIALS = 3
-
-
-class _Seen(NamedTuple):
-    """Answers and failures of an upstream, older ones counted for less."""
+# Least weighted number and share of failures of an outlier. Three failures in
+# quick succession are unlikely by chance, as a healthy upstream fails a few
+# percent of its requests.
+_MIN_FAILURES = 2.5
+_MIN_FAILURE_SHARE = 0.3
+# An outlier's share of failures is at least this many times that of all others.
+# Requests that fail everywhere are a fault of the requests or of the network.
+_MIN_RATIO_TO_OTHERS = 3.0
+# The first and the longest ejection; each in a row is twice as long as the one
+# before. An upstream that fails permanently costs one request per ejection, one
+# that has recovered and is still ejected costs its capacity.
+_FIRST_EJECTION_S = 1.0
+_MAX_EJECTION_S = 3.0
+# Share of the upstreams that may be ejected. The rest could not take the load
+# of more, and a detection that finds most upstreams bad is wrong.
+_MAX_EJECTED_SHARE = 0.3
+# Successes in a row after which an upstream on trial is readmitted.
+_TRIAL_SUCCESSES = 3
+
+
+class _Counts(NamedTuple):
+    """Successes and failures of an upstream, weighted by age.
+
+    Attributes:
+        worked: The weighted number of successes.
+        failed: The weighted number of failures.
+        at_s: The time of the weights, by the monotonic clock.
+    """
 
     worked: float
     failed: float
     at_s: float
 
-    def at(self, now_s: float) -> "_Seen":
-        left = 0.5 ** ((now_s - self.at_s) / _HALF_LIFE_S)
-        return _Seen(self.worked * left, self.failed * left, now_s)
+    def decayed(self, now_s: float) -> "_Counts":
+        """Returns the counts with the weights of `now_s`."""
+        factor = 0.5 ** ((now_s - self.at_s) / _HALF_LIFE_S)
+        return _Counts(self.worked * factor, self.failed * factor, now_s)
 
 
-class _Out(NamedTuple):
-    """An upstream that was taken out.
+class _Ejection(NamedTuple):
+    """The state of an upstream that is ejected or on trial.
 
     Attributes:
-        until_s: When it is on trial.
-        out_s: For how long it was taken out.
-        worked: Answers in a row since it is on trial.
+        until_s: When its trial begins, by the monotonic clock.
+        ejected_s: The duration of the ejection, in seconds.
+        worked: The successes in a row since the trial began.
     """
 
     until_s: float
-    out_s: float
+    ejected_s: float
     worked: int
 
 
-class Outliers:
-    """Takes upstreams out for a while whose requests fail.
+class OutlierDetector:
+    """Ejects upstreams that fail their requests for a limited time.
 
-    The failure: an upstream fails whatever it gets, at once, while it is
-    listed and its health check passes. It always has the most free slots, so
-    it gets, and fails, more requests than any other: in a model of ten that
-    get a hundred requests a second 0.82 of them failed, 0.006 when it is taken
-    out. Of many VMs each sees few of its answers; the one that gives out its
-    slots hears of all.
+    An upstream may fail every request at once while it is listed and passes
+    its health check. It always has the most free slots, so it gets, and fails,
+    more requests than any other: in a simulation of ten upstreams at 100
+    requests per second 0.82 of the requests failed, and 0.006 when the upstream
+    is ejected. Each of many VMs sees few of an upstream's answers, so the VM
+    that grants the slots, which receives all outcomes, decides.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
-        self._out: dict[str, _Out] = {}
+        self._counts: dict[str, _Counts] = {}
+        self._ejections: dict[str, _Ejection] = {}
 
-    def keep(self, instances: Iterable[str]) -> None:
-        """Forgets all upstreams but these."""
+    def retain(self, instances: Iterable[str]) -> None:
+        """Drops the state of all upstreams but these."""
         kept = frozenset(instances)
-        for name in self._seen.keys() - kept:
-            del self._seen[name]
-        for name in self._out.keys() - kept:
-            del self._out[name]
+        for name in self._counts.keys() - kept:
+            del self._counts[name]
+        for name in self._ejections.keys() - kept:
+            del self._ejections[name]
 
     def limit(self, instance: str, now_s: float) -> int | None:
         """Returns how many requests an upstream may have at once.
 
         Returns:
-            0 while it is out, 1 on trial, `None` for no limit.
+            0 while it is ejected, 1 on trial, `None` for no limit.
         """
-        out = self._out.get(instance)
-        if out is None:
+        ejection = self._ejections.get(instance)
+        if ejection is None:
             return None
-        return 0 if now_s < out.until_s else 1
+        return 0 if now_s < ejection.until_s else 1
 
-    def note(
+    def record(
         self, instance: str, now_s: float, *, has_failed: bool, count: int
     ) -> None:
-        """Takes how a request ended.
+        """Records the outcome of a request.
 
         Args:
-            instance: The upstream it was sent to.
-            now_s: By the monotonic clock.
-            has_failed: Whether it brought no sound answer.
-            count: How many upstreams there are to choose from.
+            instance: The upstream that the request was sent to.
+            now_s: The current time by the monotonic clock.
+            has_failed: Whether there was no valid answer.
+            count: The number of upstreams of the service.
         """
-        seen = self._seen.get(instance, _Seen(0.0, 0.0, now_s)).at(now_s)
+        counts = self._counts.get(instance, _Counts(0.0, 0.0, now_s)).decayed(
+            now_s
+        )
         if has_failed:
-            seen = seen._replace(failed=seen.failed + 1)
+            counts = counts._replace(failed=counts.failed + 1)
         else:
-            seen = seen._replace(worked=seen.worked + 1)
-        self._seen[instance] = seen
-        out = self._out.get(instance)
-        if out is not None:
-            self._note_trial(instance, out, now_s, has_failed)
-        elif has_failed and self._is_outlier(instance, seen, now_s):
-            self._take_out(instance, _FIRST_OUT_S, now_s, count)
-
-    def _note_trial(
-        self, instance: str, out: _Out, now_s: float, has_failed: bool
+            counts = counts._replace(worked=counts.worked + 1)
+        self._counts[instance] = counts
+        ejection = self._ejections.get(instance)
+        if ejection is not None:
+            self._record_trial(instance, ejection, now_s, has_failed)
+        elif has_failed and self._is_outlier(instance, counts, now_s):
+            self._eject(instance, _FIRST_EJECTION_S, now_s, count)
+
+    def _record_trial(
+        self, instance: str, ejection: _Ejection, now_s: float, has_failed: bool
     ) -> None:
-        if now_s < out.until_s:
-            # Sent before it was taken out.
+        if now_s < ejection.until_s:
+            # The request was sent before the ejection.
             return
         if has_failed:
-            out_s = min(out.out_s * 2, _MAX_OUT_S)
-            self._out[instance] = _Out(now_s + out_s, out_s, 0)
+            ejected_s = min(ejection.ejected_s * 2, _MAX_EJECTION_S)
+            self._ejections[instance] = _Ejection(
+                now_s + ejected_s, ejected_s, 0
+            )
             return
-        if out.worked + 1 < _TRIALS:
-            self._out[instance] = out._replace(worked=out.worked + 1)
+        if ejection.worked + 1 < _TRIAL_SUCCESSES:
+            self._ejections[instance] = ejection._replace(
+                worked=ejection.worked + 1
+            )
             return
-        del self._out[instance]
-        self._seen.pop(instance, None)
+        del self._ejections[instance]
+        self._counts.pop(instance, None)
         _events.info("back", upstream=instance)
 
-    def _is_outlier(self, instance: str, seen: _Seen, now_s: float) -> bool:
-        share = seen.failed / (seen.failed + seen.worked)
-        if seen.failed < _MIN_FAILED or share < _MIN_SHARE:
+    def _is_outlier(self, instance: str, counts: _Counts, now_s: float) -> bool:
+        share = counts.failed / (counts.failed + counts.worked)
+        if counts.failed < _MIN_FAILURES or share < _MIN_FAILURE_SHARE:
             return False
         others = [
-            row.at(now_s)
-            for name, row in self._seen.items()
-            if name != instance and name not in self._out
+            row.decayed(now_s)
+            for name, row in self._counts.items()
+            if name != instance and name not in self._ejections
         ]
         failed = sum(row.failed for row in others)
         worked = sum(row.worked for row in others)
-        return share * (failed + worked) >= _TIMES_OTHERS * failed
+        return share * (failed + worked) >= _MIN_RATIO_TO_OTHERS * failed
 
-    def _take_out(
-        self, instance: str, out_s: float, now_s: float, count: int
+    def _eject(
+        self, instance: str, ejected_s: float, now_s: float, count: int
     ) -> None:
-        if len(self._out) + 1 > _MAX_OUT_SHARE * count:
+        if len(self._ejections) + 1 > _MAX_EJECTED_SHARE * count:
             return
-        seen = self._seen[instance]
-        self._out[instance] = _Out(now_s + out_s, out_s, 0)
+        counts = self._counts[instance]
+        self._ejections[instance] = _Ejection(now_s + ejected_s, ejected_s, 0)
         _events.warning(
             "taken_out",
             upstream=instance,
-            for_s=out_s,
-            failed=round(seen.failed, 1),
-            worked=round(seen.worked, 1),
+            for_s=ejected_s,
+            failed=round(counts.failed, 1),
+            worked=round(counts.worked, 1),
         )
--- a/packages/gateway/gateway/decisions/returns.py
+++ b/packages/gateway/gateway/decisions/returns.py
@@ -1,36 +1,39 @@
-"""When refused requests come back.
+"""The times at which refused requests are to be retried.
 
-The load: bursts of online requests of which the engines can serve most but
-not all. Told the same time, all that were refused return together, meet the
-next part of the burst and are refused for good; told times one after the
-other, they fill what comes free behind it.
+The engines can serve most but not all requests of a burst. If all refused
+requests were told the same retry time, they would return together, meet the
+next part of the burst and be refused for good. With retry times one after the
+other they fill the slots that come free after the burst.
 """
 
 import heapq
 
-# What comes free is for new requests as well: one place in so many is kept in
-# mind for those that return.
-_PLACES = 3.0
-# Callers wait about five seconds in all, and a third of that for this.
+# New requests need the slots that come free as well: one slot in this many is
+# reserved for retries.
+_SLOTS_PER_RETRY = 3.0
+# Callers wait about five seconds in total, of which a retry may take a third.
 _MAX_RETRY_S = 1.6
 
 
-class Returns:
-    """The times at which refused requests were told to come back."""
+class RetrySchedule:
+    """The retry times that were given to refused requests."""
 
     def __init__(self) -> None:
         self._due_s: list[float] = []
 
-    def promise(self, now_s: float, place_s: float) -> float:
-        """Returns how long a refused request is to stay away.
+    def reserve(self, now_s: float, slot_interval_s: float) -> float:
+        """Returns the delay before a refused request is to be retried.
 
         Args:
-            now_s: By the monotonic clock.
-            place_s: How often a slot comes free.
+            now_s: The current time by the monotonic clock.
+            slot_interval_s: The mean time between two slots that come free.
+
+        Returns:
+            The delay in seconds.
         """
         while self._due_s and self._due_s[0] <= now_s:
             heapq.heappop(self._due_s)
-        turn_s = (len(self._due_s) + 1) * place_s * _PLACES
-        retry_s = min(turn_s, _MAX_RETRY_S)
+        reserved_s = (len(self._due_s) + 1) * slot_interval_s * _SLOTS_PER_RETRY
+        retry_s = min(reserved_s, _MAX_RETRY_S)
         heapq.heappush(self._due_s, now_s + retry_s)
         return retry_s
--- a/packages/gateway/gateway/decisions/slotledger.py
+++ b/packages/gateway/gateway/decisions/slotledger.py
@@ -1,8 +1,8 @@
-"""Which requests run on the engines of one service, and who gets a slot.
+"""Allocation of a service's engine slots to online and batch requests.
 
-One VM leads each service and holds its ledger. Engines know no priorities
-and admit in the order of arrival, so what keeps online requests ahead of
-batch is decided here, before anything is sent.
+One VM leads each service and holds its ledger. Engines have no priorities
+and admit requests in the order of arrival, so the ledger puts online
+requests ahead of batch items before anything is sent.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -14,27 +14,38 @@
 from gateway.decisions import outliers
 from gateway.decisions import returns
 
-# An engine's own word on its load counts for so long, less and less: runs of
-# a VM that lost its power go on there, and no VM reports them.
-_OBSERVED_S = 1.5
-# The part of an answer's target that a request may wait inside an engine;
-# the rest is for its prompt and the way.
-_WAIT_SHARE = 0.7
-# Until runs were seen to end: a stream of the sizes served takes about so.
-_FIRST_RUN_S = 0.75
+# Load that an engine reports beyond the known runs counts with a weight that
+# falls to zero over this time. Runs of a VM that lost power continue on the
+# engine, and no VM reports them.
+_OBSERVED_LOAD_S = 1.5
+# Share of the target latency that a request may wait in an engine's queue; the
+# rest is for its prompt and the network.
+_QUEUE_WAIT_SHARE = 0.7
+# Initial estimate of a run's duration, about that of a typical stream.
+_INITIAL_RUN_S = 0.75
+# Weight of a new run in the moving average of run durations.
 _RUN_WEIGHT = 0.05
-# A grant may still be on its way to its VM, which does not report it yet.
-_GRANT_TRAVELS_S = 0.6
-# A VM that reports nothing for so long runs nothing any more.
-_SILENT_S = 3.5
+# A run this new may be missing from its VM's report, as its grant may still be
+# on its way to the VM.
+_GRANT_DELIVERY_S = 0.6
+# A VM that has not reported for this long is taken to run nothing.
+_VM_SILENCE_S = 3.5
 _MIN_RETRY_S = 0.15
 
-# How a run ended, as far as that says something of its engine.
+# How a run ended, as a sign of its engine's health.
 Outcome = Literal["unknown", "ok", "failed"]
 
 
 class Run(NamedTuple):
-    """A request that holds a slot; only a batch item's has a standing."""
+    """A request that holds a slot.
+
+    Attributes:
+        vm: The VM that sends the request.
+        instance: The engine it runs on.
+        since_s: When it got the slot, by the monotonic clock.
+        standing: The priority of a batch item; `None` for an online request.
+        is_silent: See `ReportRow`.
+    """
 
     vm: str
     instance: str
@@ -44,7 +55,12 @@
 
 
 class BatchRun(NamedTuple):
-    """A run of a batch item that asks for a slot."""
+    """A request for a slot for a batch item.
+
+    Attributes:
+        run: The unique name of the run.
+        standing: The priority of the item.
+    """
 
     run: str
     standing: batchorder.Standing
@@ -55,8 +71,8 @@
 
     Attributes:
         instance: The engine.
-        yields: The batch runs that have to yield for it.
-        is_queued: Whether the request has to wait inside the engine.
+        yields: The batch runs that are preempted for it.
+        is_queued: Whether the request has to wait in the engine's queue.
     """
 
     instance: str
@@ -65,14 +81,24 @@
 
 
 class Occupancy(NamedTuple):
-    """How full the engines are that a request may use."""
+    """How full the engines are that a request may use.
+
+    Attributes:
+        taken: The estimated number of requests on these engines.
+        slots: The number of slots of these engines.
+    """
 
     taken: float
     slots: int
 
 
 class NoRoom(NamedTuple):
-    """No slot soon enough, when to come back, and what decided it."""
+    """A refusal, as no slot will come free soon enough.
+
+    Attributes:
+        retry_after_s: When to try again, in seconds from now.
+        occupancy: How full the engines were.
+    """
 
     retry_after_s: float
     occupancy: Occupancy
@@ -82,10 +108,12 @@
     """One run as its VM reports it.
 
     Attributes:
-        run: Its name.
+        run: The unique name of the run.
         instance: The engine it runs on.
-        standing: Of the batch item, if it is one's, by now.
-        is_silent: Whether the engine owes something, and sent nothing lately.
+        standing: The current priority of a batch item; `None` for an online
+            request.
+        is_silent: Whether an answer is outstanding and the engine has sent
+            nothing recently.
     """
 
     run: str
@@ -95,24 +123,34 @@
 
 
 class Load(NamedTuple):
-    """What an engine said of its load just now: runs and waiting ones."""
+    """The load that an engine has just reported.
+
+    Attributes:
+        instance: The engine.
+        busy: The number of its running and waiting requests.
+    """
 
     instance: str
     busy: int
 
 
-class _Observed(NamedTuple):
-    """Runs of an engine that the ledger did not know, and when."""
+class _ObservedLoad(NamedTuple):
+    """An engine's reported load beyond the runs in the ledger.
+
+    Attributes:
+        extra: The number of runs that were not in the ledger.
+        at_s: When the engine reported it, by the monotonic clock.
+    """
 
     extra: int
     at_s: float
 
 
 class Ledger:
-    """The runs on the engines of one service, as far as is known here.
+    """The known runs on the engines of one service.
 
-    It lives in memory only: a VM that comes to lead a service learns from
-    the others' reports what runs, within a second.
+    The ledger is kept in memory only. A VM that becomes leader of a service
+    rebuilds it from the reports of the other VMs within a second.
     """
 
     def __init__(self, rng: random.Random | None = None) -> None:
@@ -120,17 +158,17 @@
         self._engines: dict[str, records.Upstream] = {}
         self._runs: dict[str, Run] = {}
         self._counts: dict[str, int] = {}
-        self._heard_s: dict[str, float] = {}
-        self._observed: dict[str, _Observed] = {}
-        self._outliers = outliers.Outliers()
-        self._run_s = _FIRST_RUN_S
-        self._waiting = batchorder.Waiting()
-        self._returns = returns.Returns()
+        self._last_report_s: dict[str, float] = {}
+        self._observed: dict[str, _ObservedLoad] = {}
+        self._outliers = outliers.OutlierDetector()
+        self._run_s = _INITIAL_RUN_S
+        self._waiting = batchorder.WaitingItems()
+        self._retry_schedule = returns.RetrySchedule()
 
     def set_engines(self, engines: Iterable[records.Upstream]) -> None:
-        """Takes the engines that may get requests."""
+        """Replaces the set of engines that may get requests."""
         self._engines = {row.instance: row for row in engines}
-        self._outliers.keep(self._engines)
+        self._outliers.retain(self._engines)
 
     def take_online(
         self,
@@ -142,19 +180,27 @@
         excluded: Iterable[str] = (),
         domain: str = "",
     ) -> Grant | NoRoom:
-        """Gives a slot to an online request, at once or not at all.
+        """Grants a slot to an online request, or refuses it at once.
+
+        The request gets a free slot; else the slot of a batch run, which is
+        preempted; else a place in an engine's queue if its answer can still
+        be on time. A longer queue would make every answer late, so the
+        request is refused and told to retry when slots have come free.
 
-        A free slot first; else that of a batch run, which yields; else a
-        place in an engine's own queue, as long as the wait there leaves the
-        answer on time. Beyond that the queue would make every answer late,
-        so the request is refused and comes back when slots have come free.
+        Args:
+            run: The unique name of the run.
+            vm: The VM that sends the request.
+            now_s: The current time by the monotonic clock.
+            target_s: The target latency of the answer, in seconds.
+            excluded: Engines that must not be used.
+            domain: The failure domain of the VM; empty for no preference.
         """
-        choices = self._choices(excluded, now_s)
+        choices = self._eligible_engines(excluded, now_s)
         if not choices:
             return NoRoom(_MIN_RETRY_S, Occupancy(0, 0))
-        best = min(choices, key=lambda row: self._rank(row, domain, now_s))
-        over = self._fill(best, now_s) - best.slots
-        if over <= -1:
+        best = min(choices, key=lambda row: self._sort_key(row, domain, now_s))
+        excess = self._estimated_load(best, now_s) - best.slots
+        if excess <= -1:
             return self._grant(run, vm, best, now_s)
         victim = self._victim(choices, domain, now_s)
         if victim:
@@ -162,15 +208,15 @@
             self.release(victim, now_s)
             grant = self._grant(run, vm, self._engines[instance], now_s)
             return grant._replace(yields=(victim,))
-        if over < self._most_waiting(best, target_s):
+        if excess < self._max_queued(best, target_s):
             grant = self._grant(run, vm, best, now_s)
             return grant._replace(is_queued=True)
-        drain_s = (over + 1) * self._run_s / best.slots
+        drain_s = (excess + 1) * self._run_s / best.slots
         drain_s = max(_MIN_RETRY_S, drain_s) * self._rng.uniform(1.0, 1.5)
         occupancy = self._occupancy(choices, now_s)
-        place_s = self._run_s / occupancy.slots
-        turn_s = self._returns.promise(now_s, place_s)
-        return NoRoom(max(drain_s, turn_s), occupancy)
+        slot_interval_s = self._run_s / occupancy.slots
+        reserved_s = self._retry_schedule.reserve(now_s, slot_interval_s)
+        return NoRoom(max(drain_s, reserved_s), occupancy)
 
     def take_batch(
         self,
@@ -179,18 +225,19 @@
         now_s: float,
         excluded: Iterable[str] = (),
     ) -> tuple[str, ...]:
-        """Gives slots to batch items if online requests leave any.
+        """Grants free slots to batch items of a VM.
 
-        Slots that items of other VMs come before for are left to those.
+        Slots are left for waiting items of other VMs that rank higher.
 
         Args:
-            vm: Whose items they are.
-            runs: The items, those that come first in front.
-            now_s: By the monotonic clock.
-            excluded: Upstreams that are not to be used.
+            vm: The VM that runs the items.
+            runs: The items in the order of their rank.
+            now_s: The current time by the monotonic clock.
+            excluded: Engines that must not be used.
 
         Returns:
-            The engines of the first of them.
+            The engines for the first items of `runs`, one for each that got a
+            slot.
         """
         left_out = frozenset(excluded)
         engines: list[str] = []
@@ -200,49 +247,59 @@
                 break
             self._add(row.run, Run(vm, instance, now_s, row.standing))
             engines.append(instance)
-        unmet = [batchorder.rank(row.standing) for row in runs[len(engines) :]]
-        self._waiting.note(vm, unmet, left_out, now_s)
+        unplaced = [
+            batchorder.rank(row.standing) for row in runs[len(engines) :]
+        ]
+        self._waiting.replace(vm, unplaced, left_out, now_s)
         return tuple(engines)
 
     def _batch_engine(
         self, vm: str, row: BatchRun, left_out: frozenset[str], now_s: float
     ) -> str:
         """Returns the engine for a batch item; empty if it has to wait."""
-        room = {
-            choice.instance: int(choice.slots - self._fill(choice, now_s))
-            for choice in self._choices(left_out, now_s)
+        free_slots = {
+            choice.instance: int(
+                choice.slots - self._estimated_load(choice, now_s)
+            )
+            for choice in self._eligible_engines(left_out, now_s)
         }
-        free = frozenset(name for name, count in room.items() if count > 0)
+        free = frozenset(
+            name for name, count in free_slots.items() if count > 0
+        )
         if not free:
             return ""
-        own = batchorder.rank(row.standing)
-        ahead = self._waiting.ahead(vm, own, free, now_s)
-        if sum(room[name] for name in free) <= ahead:
+        own_rank = batchorder.rank(row.standing)
+        ahead = self._waiting.count_ahead(vm, own_rank, free, now_s)
+        if sum(free_slots[name] for name in free) <= ahead:
             return ""
-        choices = [self._engines[name] for name in room if name in free]
-        best = min(choices, key=lambda choice: self._rank(choice, "", now_s))
+        choices = [self._engines[name] for name in free_slots if name in free]
+        best = min(
+            choices, key=lambda choice: self._sort_key(choice, "", now_s)
+        )
         return best.instance
 
     def release(
         self, run: str, now_s: float, *, outcome: Outcome = "unknown"
     ) -> None:
-        """Takes a slot back; idempotent."""
+        """Frees the slot of a run; does nothing if the run holds none."""
         held = self._runs.pop(run, None)
         if held is None:
             return
         self._counts[held.instance] -= 1
         if outcome == "failed" and not held.is_silent:
-            self._note(held.instance, now_s, has_failed=True)
+            self._record_outcome(held.instance, now_s, has_failed=True)
         if outcome != "ok":
             return
-        self._note(held.instance, now_s, has_failed=False)
+        self._record_outcome(held.instance, now_s, has_failed=False)
         if held.standing is None:
             took_s = now_s - held.since_s
             self._run_s += (took_s - self._run_s) * _RUN_WEIGHT
 
-    def _note(self, instance: str, now_s: float, *, has_failed: bool) -> None:
+    def _record_outcome(
+        self, instance: str, now_s: float, *, has_failed: bool
+    ) -> None:
         if instance in self._engines:
-            self._outliers.note(
+            self._outliers.record(
                 instance,
                 now_s,
                 has_failed=has_failed,
@@ -250,53 +307,54 @@
             )
 
     def report(self, vm: str, rows: Iterable[ReportRow], now_s: float) -> None:
-        """Takes all that a VM says it runs, in place of what was known.
+        """Replaces the runs of a VM by those that it reports.
 
-        The failure: a release is lost with its connection, or another VM
-        led until now; slots would seem taken for ever, or free while they
-        are not.
+        A release may be lost with its connection, and a new leader starts
+        with an empty ledger. Without reports slots would stay taken forever,
+        or count as free while they are in use.
         """
-        self._heard_s[vm] = now_s
+        self._last_report_s[vm] = now_s
         reported = {row.run: row for row in rows}
         for run, held in list(self._runs.items()):
-            is_new = now_s - held.since_s < _GRANT_TRAVELS_S
+            is_new = now_s - held.since_s < _GRANT_DELIVERY_S
             if held.vm == vm and run not in reported and not is_new:
                 self.release(run, now_s)
         for run, row in reported.items():
             if run not in self._runs:
                 self._add(run, Run(vm, row.instance, now_s, row.standing))
             if row.is_silent and not self._runs[run].is_silent:
-                # It may wait for seconds before it ends as failed.
+                # The run may wait for seconds before it ends as failed, so
+                # the failure is counted now.
                 self._runs[run] = self._runs[run]._replace(is_silent=True)
-                self._note(row.instance, now_s, has_failed=True)
+                self._record_outcome(row.instance, now_s, has_failed=True)
 
     def observe(self, load: Load, now_s: float) -> None:
-        """Takes an engine's word for what it runs beyond the ledger."""
+        """Notes the load that an engine reports beyond the ledger's runs."""
         extra = load.busy - self._counts.get(load.instance, 0)
-        self._observed[load.instance] = _Observed(max(0, extra), now_s)
+        self._observed[load.instance] = _ObservedLoad(max(0, extra), now_s)
 
     def expire(self, now_s: float) -> None:
-        """Drops the runs of VMs that are silent."""
+        """Drops the runs of VMs that have stopped reporting."""
         for run, held in list(self._runs.items()):
-            heard_s = self._heard_s.get(held.vm, held.since_s)
-            if now_s - max(heard_s, held.since_s) > _SILENT_S:
+            last_report_s = self._last_report_s.get(held.vm, held.since_s)
+            if now_s - max(last_report_s, held.since_s) > _VM_SILENCE_S:
                 self.release(run, now_s)
 
     def counts(self) -> Mapping[str, int]:
-        """Returns how many runs each engine has."""
+        """Returns the number of known runs of each engine that has any."""
         return {name: count for name, count in self._counts.items() if count}
 
-    def _choices(
+    def _eligible_engines(
         self, excluded: Iterable[str], now_s: float
     ) -> list[records.Upstream]:
         left_out = frozenset(excluded)
         return [
             row
             for row in self._engines.values()
-            if row.instance not in left_out and self._may_get(row, now_s)
+            if row.instance not in left_out and self._accepts_more(row, now_s)
         ]
 
-    def _may_get(self, row: records.Upstream, now_s: float) -> bool:
+    def _accepts_more(self, row: records.Upstream, now_s: float) -> bool:
         limit = self._outliers.limit(row.instance, now_s)
         return limit is None or self._counts.get(row.instance, 0) < limit
 
@@ -304,52 +362,61 @@
         self, choices: Iterable[records.Upstream], now_s: float
     ) -> Occupancy:
         rows = list(choices)
-        taken = sum(self._fill(row, now_s) for row in rows)
+        taken = sum(self._estimated_load(row, now_s) for row in rows)
         return Occupancy(round(taken, 1), sum(row.slots for row in rows))
 
-    def _fill(self, row: records.Upstream, now_s: float) -> float:
-        """Returns how many requests an engine has, known ones and others."""
+    def _estimated_load(self, row: records.Upstream, now_s: float) -> float:
+        """Returns the estimated number of requests on an engine.
+
+        The estimate is the number of known runs plus the reported load beyond
+        them, which loses weight with age.
+        """
         count = self._counts.get(row.instance, 0)
         observed = self._observed.get(row.instance)
         if observed is None or not observed.extra:
             return count
-        left = 1.0 - (now_s - observed.at_s) / _OBSERVED_S
+        left = 1.0 - (now_s - observed.at_s) / _OBSERVED_LOAD_S
         return count + observed.extra * max(0.0, left)
 
-    def _rank(
+    def _sort_key(
         self, row: records.Upstream, domain: str, now_s: float
     ) -> tuple[bool, bool, float, float]:
-        """Returns how good an engine is for a request, the least the best.
+        """Returns a sort key of an engine for a request; the least is the best.
 
-        One with a free slot in the asker's own failure domain comes first:
-        what runs across domains is lost when one is cut off, and its bytes
-        have their price. Batch items go where most is free.
+        Engines with a free slot in failure domain `domain` come first: a run
+        across domains is lost when one of them is cut off, and traffic
+        between domains costs money. With an empty `domain`, as for batch
+        items, the least loaded engine comes first.
         """
-        fill = self._fill(row, now_s) / row.slots
+        fill = self._estimated_load(row, now_s) / row.slots
         is_far = bool(domain) and row.failure_domain != domain
         return (fill >= 1.0, is_far and fill < 1.0, fill, self._rng.random())
 
     def _victim(
         self, choices: Iterable[records.Upstream], domain: str, now_s: float
     ) -> str:
-        """Returns the batch run to yield; empty if there is none.
+        """Returns the batch run to preempt; empty if there is none.
 
-        A near one if there is any, since what runs across domains is lost
-        when one is cut off; of these the one whose turn would come last, so
-        that those near their end do not yield again and again.
+        Late items come first, then runs in failure domain `domain`, since a
+        run across domains is lost when one of them is cut off. Of these the
+        one with the last rank is chosen, so that items near their end are
+        not preempted again and again.
         """
         domains = {row.instance: row.failure_domain for row in choices}
         runs = []
         for run, held in self._runs.items():
             if held.standing is None or held.instance not in domains:
                 continue
-            place = batchorder.rank(held.standing.after(now_s - held.since_s))
+            item_rank = batchorder.rank(
+                held.standing.after(now_s - held.since_s)
+            )
             is_near = domains[held.instance] == domain
-            runs.append((place.is_late, is_near, place, run))
+            runs.append((item_rank.is_late, is_near, item_rank, run))
         return max(runs)[-1] if runs else ""
 
-    def _most_waiting(self, row: records.Upstream, target_s: float) -> int:
-        return int(_WAIT_SHARE * target_s * row.slots / self._run_s)
+    def _max_queued(self, row: records.Upstream, target_s: float) -> int:
+        """Returns how many requests may wait in an engine's queue."""
+        return int(_QUEUE_WAIT_SHARE * target_s * row.slots / self._run_s)
 
     def _grant(
         self,
--- a/tests/gateway/test_batchload.py
+++ b/tests/gateway/test_batchload.py
@@ -1,4 +1,4 @@
-"""Batch jobs at the worst load, replayed on the real decisions."""
+"""Batch jobs under overload, replayed on the real decision modules."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def test_more_jobs_than_can_be_in_time_are_not_all_late() -> None:
-    """In the order of due times alone each job ends just after it was due."""
+    """Ordered by due time alone, each job ends just after it was due."""
     load = loads.read("backlog")
     by_due_time = _row(_play(load, "by-due-time"), "quiz").in_time
     late_last = _row(_play(load), "quiz").in_time
@@ -28,22 +28,25 @@
     assert late_last > 0.7
 
 
-def test_a_flood_of_jobs_makes_fewer_late_when_items_take_turns(
+def test_a_flood_of_jobs_makes_fewer_late_when_items_are_ranked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Slots go to whichever VM asks first, and from item to item."""
+    """Without ranks a slot goes to the VM that asks first.
+
+    Slots then move from item to item, and few jobs finish in time.
+    """
     load = loads.read("flood")
-    in_turn = _play(load)
+    ranked = _play(load)
     monkeypatch.setattr(batchorder, "rank", _no_order)
-    by_chance = _play(load)
-    in_time = _row(in_turn, "quiz").in_time
-    assert in_time > _row(by_chance, "quiz").in_time
-    for ended in (in_turn, by_chance):
+    unranked = _play(load)
+    in_time = _row(ranked, "quiz").in_time
+    assert in_time > _row(unranked, "quiz").in_time
+    for ended in (ranked, unranked):
         assert _row(ended, "hint").refused == 0
 
 
 def test_long_items_are_not_starved_in_a_flood() -> None:
-    """What is late by its length alone would never be in time."""
+    """Items that counted as late by their length would never be in time."""
     lengths = (0.7, 0.8, 0.8, 0.9, 1.0, 1.0, 1.1, 1.2, 1.3, 1.6)
     load = loads.read("flood")
     jobs = tuple(row._replace(lengths=lengths) for row in load.jobs)
@@ -55,7 +58,7 @@
 
 
 def test_online_streams_come_before_batch_in_an_overload() -> None:
-    """Batch items keep their slots and bursts of streams wait for them."""
+    """Without preemption streams wait for the slots of batch items."""
     load = loads.read("overload")
     yielding = _row(_play(load), "hint")
     keeping = _row(_play(load, "no-preemption"), "hint")
@@ -64,7 +67,7 @@
 
 
 def test_streams_with_long_prompts_begin_in_time_in_an_overload() -> None:
-    """They were begun elsewhere shortly before their first event came."""
+    """Early retries gave them up shortly before their first event came."""
     load = loads.read("overload")
     ended = _play(load)
     assert _row(ended, "hint-twice").cuts <= 6
@@ -72,8 +75,8 @@
     assert _row(ended, "hint-twice").in_time > early + 0.3
 
 
-def test_streams_leave_an_engine_that_stands_still() -> None:
-    """Those that ran there waited a second before they were retried."""
+def test_streams_leave_an_engine_that_is_frozen() -> None:
+    """Without early retries they wait a second before they are retried."""
     load = loads.read("frozen")
     leaving = _row(_play(load), "hint").in_time
     staying = _row(_play(load, "no-early-retry"), "hint").in_time
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions do no input or output, and wait for nothing."""
+"""Decision modules do no input or output and never block."""
 
 import ast
 import pathlib
@@ -6,7 +6,7 @@
 from gateway import decisions
 
 _FOLDER = pathlib.Path(decisions.__file__).parent
-# Types, records, and log lines, which never block.
+# Modules of types and records, and the log, which never blocks.
 _ALLOWED = (
     "collections.abc",
     "heapq",
@@ -26,21 +26,21 @@
             names += [alias.name for alias in node.names]
         if isinstance(node, ast.ImportFrom):
             is_module = node.module in ("gateway", "bulrushdeal")
-            inside = is_module or node.module == "gateway.decisions"
+            is_own = is_module or node.module == "gateway.decisions"
             names += [
-                f"{node.module}.{alias.name}" if inside else str(node.module)
+                f"{node.module}.{alias.name}" if is_own else str(node.module)
                 for alias in node.names
             ]
     return names
 
 
-def test_decisions_import_nothing_that_waits() -> None:
+def test_decisions_import_nothing_that_blocks() -> None:
     paths = sorted(_FOLDER.glob("*.py"))
     assert len(paths) > 5
-    odd = {
+    not_allowed = {
         path.name: name
         for path in paths
         for name in _imports(path)
         if not name.startswith(_ALLOWED)
     }
-    assert not odd
+    assert not not_allowed
--- a/tests/gateway/test_outliers.py
+++ b/tests/gateway/test_outliers.py
@@ -1,4 +1,4 @@
-"""Which upstreams get nothing for a while because their requests fail."""
+"""Ejection of upstreams that fail their requests."""
 
 import random
 
@@ -16,58 +16,61 @@
 _COUNT = 10
 
 
-def _note(
-    rows: outliers.Outliers, ends: str, now_s: float, instance: str = "i-0"
+def _record(
+    detector: outliers.OutlierDetector,
+    ends: str,
+    now_s: float,
+    instance: str = "i-0",
 ) -> None:
     for end in ends:
-        rows.note(instance, now_s, has_failed=end == "x", count=_COUNT)
+        detector.record(instance, now_s, has_failed=end == "x", count=_COUNT)
 
 
-def test_an_upstream_that_fails_is_out_and_comes_back_by_trials() -> None:
-    rows = outliers.Outliers()
-    _note(rows, "....", 0.0, "i-1")
-    _note(rows, "xx", 0.0)
-    assert rows.limit("i-0", 0.0) is None
-    _note(rows, "x", 0.0)
-    assert rows.limit("i-0", 0.9) == 0
-    assert rows.limit("i-0", 1.1) == 1
-    assert rows.limit("i-1", 0.0) is None
-    _note(rows, "..", 1.2)
-    assert rows.limit("i-0", 1.2) == 1
-    _note(rows, ".", 1.3)
-    assert rows.limit("i-0", 1.3) is None
+def test_a_failing_upstream_is_ejected_and_readmitted_after_trials() -> None:
+    detector = outliers.OutlierDetector()
+    _record(detector, "....", 0.0, "i-1")
+    _record(detector, "xx", 0.0)
+    assert detector.limit("i-0", 0.0) is None
+    _record(detector, "x", 0.0)
+    assert detector.limit("i-0", 0.9) == 0
+    assert detector.limit("i-0", 1.1) == 1
+    assert detector.limit("i-1", 0.0) is None
+    _record(detector, "..", 1.2)
+    assert detector.limit("i-0", 1.2) == 1
+    _record(detector, ".", 1.3)
+    assert detector.limit("i-0", 1.3) is None
 
 
-def test_a_trial_that_fails_takes_it_out_for_twice_as_long() -> None:
-    rows = outliers.Outliers()
-    _note(rows, "xxx", 0.0)
-    _note(rows, "x", 1.1)
-    assert rows.limit("i-0", 3.0) == 0
-    assert rows.limit("i-0", 3.2) == 1
+def test_a_failed_trial_doubles_the_ejection() -> None:
+    detector = outliers.OutlierDetector()
+    _record(detector, "xxx", 0.0)
+    _record(detector, "x", 1.1)
+    assert detector.limit("i-0", 3.0) == 0
+    assert detector.limit("i-0", 3.2) == 1
 
 
-def test_what_fails_everywhere_takes_nobody_out() -> None:
+def test_failures_at_all_upstreams_eject_none() -> None:
     """One caller's requests make every upstream answer 500.
 
-    No upstream is at fault; without them the others have less room.
+    No upstream is at fault, and ejections would only cost capacity.
     """
-    rows = outliers.Outliers()
+    detector = outliers.OutlierDetector()
     for number in range(_COUNT):
-        _note(rows, "x.", 0.0, f"i-{number}")
+        _record(detector, "x.", 0.0, f"i-{number}")
     for number in range(_COUNT):
-        _note(rows, "x.x", 0.1, f"i-{number}")
+        _record(detector, "x.x", 0.1, f"i-{number}")
     assert all(
-        rows.limit(f"i-{number}", 0.2) is None for number in range(_COUNT)
+        detector.limit(f"i-{number}", 0.2) is None for number in range(_COUNT)
     )
 
 
-def test_answers_lost_now_and_then_take_nobody_out() -> None:
-    rng, rows = random.Random(5), outliers.Outliers()
+def test_occasional_failures_eject_no_upstream() -> None:
+    rng, detector = random.Random(5), outliers.OutlierDetector()
     for step in range(4000):
         end = "x" if rng.random() < 0.05 else "."
-        _note(rows, end, step * 0.02, f"i-{rng.randrange(_COUNT)}")
+        _record(detector, end, step * 0.02, f"i-{rng.randrange(_COUNT)}")
         assert all(
-            rows.limit(f"i-{number}", step * 0.02) is None
+            detector.limit(f"i-{number}", step * 0.02) is None
             for number in range(_COUNT)
         )
 
@@ -75,28 +78,28 @@
 @hypothesis.given(
     st.lists(st.tuples(st.integers(0, _COUNT - 1), st.booleans()), max_size=200)
 )
-def test_most_upstreams_are_never_out(ends: list[tuple[int, bool]]) -> None:
-    rows = outliers.Outliers()
+def test_most_upstreams_are_never_ejected(ends: list[tuple[int, bool]]) -> None:
+    detector = outliers.OutlierDetector()
     for step, (number, has_failed) in enumerate(ends):
-        rows.note(
+        detector.record(
             f"i-{number}", step * 0.01, has_failed=has_failed, count=_COUNT
         )
-        out = [
+        ejected = [
             number
             for number in range(_COUNT)
-            if rows.limit(f"i-{number}", step * 0.01) is not None
+            if detector.limit(f"i-{number}", step * 0.01) is not None
         ]
-        assert len(out) <= 3
+        assert len(ejected) <= 3
 
 
 def _failed_share(fails: str) -> float:
-    """Plays ten seconds of requests; one engine fails its own at once.
+    """Replays ten seconds of requests while one engine fails all of its own.
 
     Args:
-        fails: The engine that does.
+        fails: The engine that fails each request at once.
 
     Returns:
-        Which part of the requests that had a slot failed.
+        The share of failed requests among those that got a slot.
     """
     rng = random.Random(2)
     ledger = slotledger.Ledger(rng)
@@ -122,23 +125,23 @@
     return failed / sent
 
 
-def test_an_upstream_that_fails_at_once_does_not_draw_requests() -> None:
+def test_an_upstream_that_fails_at_once_does_not_attract_requests() -> None:
     """One engine of ten resets each request; the others take half a second.
 
-    It always has the most free slots: 0.82 of a hundred requests a second
-    go there if it is not taken out.
+    It always has the most free slots: without ejection 0.82 of a hundred
+    requests a second go there.
     """
     assert _failed_share("i-3") < 0.02
     assert _failed_share("none") == 0.0
 
 
-def test_the_vm_that_leads_hears_of_the_failures_of_all(
+def test_the_leader_counts_the_failures_at_all_vms(
     scene: gatewayscene.Scene,
 ) -> None:
-    """One engine of four answers 500 to whatever it gets.
+    """One engine of four answers 500 to every request.
 
-    Each VM sees few of the failures; of 120 requests a quarter would go
-    there.
+    Each VM sees few of the failures; without ejection a quarter of the 120
+    requests would go there.
     """
     engines = [scene.add_engine() for _ in range(4)]
     engines[0].faults = [gatewayengine.Fault("error")] * 200
--- a/tests/gateway/test_returns.py
+++ b/tests/gateway/test_returns.py
@@ -1,4 +1,4 @@
-"""When refused requests come back, replayed on the real decisions."""
+"""Retry times of refused requests, replayed on the real decision modules."""
 
 import pytest
 
@@ -8,8 +8,12 @@
 from gateway.decisions import returns
 
 
-def _lost(replicas: int) -> float:
-    """Returns the share of requests refused twice at so many engines."""
+def _refused_share(replicas: int) -> float:
+    """Returns the share of requests that are refused for good.
+
+    Args:
+        replicas: The number of engines.
+    """
     load = loads.read("bursts")
     part = replicas / load.engines.replicas
     engines = load.engines._replace(replicas=replicas)
@@ -26,23 +30,23 @@
 
 
 @pytest.mark.parametrize("replicas", [1, 5])
-def test_those_that_come_back_one_after_the_other_are_lost_less_often(
+def test_staggered_retries_are_refused_for_good_less_often(
     monkeypatch: pytest.MonkeyPatch, replicas: int
 ) -> None:
-    """A burst, once at one engine behind a cut and once at all of them."""
-    in_turn = _lost(replicas)
-    monkeypatch.setattr(returns.Returns, "promise", lambda *_: 0.0)
-    together = _lost(replicas)
-    assert in_turn < together * 0.7
+    """A burst meets one engine behind a network cut, or all five engines."""
+    staggered = _refused_share(replicas)
+    monkeypatch.setattr(returns.RetrySchedule, "reserve", lambda *_: 0.0)
+    together = _refused_share(replicas)
+    assert staggered < together * 0.7
 
 
-def test_a_place_is_promised_once() -> None:
-    promised = returns.Returns()
-    first_s = promised.promise(0.0, 0.1)
-    assert promised.promise(0.0, 0.1) > first_s
-    assert promised.promise(first_s * 3, 0.1) == first_s
+def test_a_slot_is_reserved_once() -> None:
+    schedule = returns.RetrySchedule()
+    first_s = schedule.reserve(0.0, 0.1)
+    assert schedule.reserve(0.0, 0.1) > first_s
+    assert schedule.reserve(first_s * 3, 0.1) == first_s
 
 
-def test_nobody_is_sent_away_for_longer_than_callers_wait() -> None:
-    promised = returns.Returns()
-    assert max(promised.promise(0.0, 0.1) for _ in range(100)) <= 1.6
+def test_no_retry_is_later_than_callers_wait() -> None:
+    schedule = returns.RetrySchedule()
+    assert max(schedule.reserve(0.0, 0.1) for _ in range(100)) <= 1.6
--- a/tests/gateway/test_slotledger.py
+++ b/tests/gateway/test_slotledger.py
@@ -1,4 +1,4 @@
-"""Who gets a slot of an engine."""
+"""The ledger that grants engine slots."""
 
 import random
 
@@ -39,9 +39,9 @@
     standing: batchorder.Standing | None = None,
     excluded: tuple[str, ...] = (),
 ) -> str:
-    """Returns the engine that a batch item gets; empty if none."""
-    asked = slotledger.BatchRun(run, standing or batchorder.Standing())
-    engines = ledger.take_batch(vm, [asked], now_s, excluded)
+    """Returns the engine that a batch item gets; empty if it gets none."""
+    batch_run = slotledger.BatchRun(run, standing or batchorder.Standing())
+    engines = ledger.take_batch(vm, [batch_run], now_s, excluded)
     return engines[0] if engines else ""
 
 
@@ -54,11 +54,11 @@
     return ledger.take_online(run, "vm1", now_s, target_s=0.3)
 
 
-def test_an_online_request_takes_the_slot_of_a_batch_run() -> None:
-    """Batch fills every slot; then a household writes.
+def test_an_online_request_preempts_a_batch_run() -> None:
+    """An online request arrives while batch items hold every slot.
 
-    It must not wait the seconds that a batch item takes: the item begun last
-    yields, and the request has its slot.
+    It must not wait the seconds that a batch item takes, so the item that
+    started last is preempted.
     """
     ledger = _ledger(1, slots=2)
     assert _batch(ledger, "b1", "vm2", 0.0)
@@ -70,11 +70,11 @@
     assert ledger.counts() == {"i-0": 2}
 
 
-def test_a_burst_beyond_the_slots_is_refused_with_when_to_come_back() -> None:
+def test_a_burst_beyond_the_slots_is_refused_with_a_retry_time() -> None:
     """A burst of online requests meets full engines.
 
-    A few may wait inside an engine and are still on time. Each one more would
-    make all that follow late, so it is told at once when to come back.
+    A few requests may wait in an engine's queue and are still on time. Each
+    further one would make all later ones late, so it is refused at once.
     """
     ledger = _ledger(2)
     answers = [_online(ledger, f"o{number}") for number in range(40)]
@@ -101,11 +101,10 @@
 
 
 def test_runs_of_a_vm_without_power_count_by_the_engines_own_word() -> None:
-    """All VMs lose power; the engines go on with what they had.
+    """All VMs lose power while the engines continue their runs.
 
-    The new ledger is empty. It would fill the engines' queues and every
-    stream of the next seconds would be late, were it not for what the
-    engines say of themselves.
+    The new ledger is empty. Without the load that the engines report it would
+    fill their queues, and every stream of the next seconds would be late.
     """
     ledger = _ledger(2)
     ledger.observe(slotledger.Load("i-0", 8), 0.0)
@@ -115,15 +114,15 @@
         assert grant.instance == "i-1"
 
 
-def test_a_release_that_was_lost_is_made_good_by_the_next_report() -> None:
-    """A VM's connection breaks as it gives a slot back.
+def test_a_lost_release_is_corrected_by_the_next_report() -> None:
+    """A VM's connection breaks while it releases a slot.
 
-    Without the report the slot would seem taken for ever.
+    Without the report the slot would stay taken forever.
     """
     ledger = _ledger(1, slots=1)
     _online(ledger, "o1", 0.0)
     ledger.report("vm1", (), 0.1)
-    assert ledger.counts() == {"i-0": 1}  # The grant may be on its way.
+    assert ledger.counts() == {"i-0": 1}  # The grant may still be on its way.
     ledger.report("vm1", (), 1.0)
     assert ledger.counts() == {}
 
@@ -149,7 +148,7 @@
     assert ledger.counts() == {}
 
 
-def test_a_late_item_yields_before_one_in_time() -> None:
+def test_a_late_item_is_preempted_before_one_in_time() -> None:
     ledger = _ledger(1, slots=2)
     assert _batch(ledger, "late", "vm2", 0.0, _LATE)
     assert _batch(ledger, "in time", "vm2", 1.0)
@@ -158,7 +157,7 @@
     assert taken.yields == ("late",)
 
 
-def test_late_items_wait_while_others_of_any_vm_find_no_slot() -> None:
+def test_late_items_wait_while_items_in_time_of_any_vm_wait() -> None:
     ledger = _ledger(1, slots=1)
     assert _batch(ledger, "b1", "vm1", 0.0)
     assert not _batch(ledger, "b2", "vm1", 0.1)
@@ -169,8 +168,8 @@
     assert _batch(ledger, "late", "vm2", 0.5, _LATE)
 
 
-def test_an_item_near_its_end_does_not_yield_again_and_again() -> None:
-    """Each burst takes the slot of the item that was resumed last."""
+def test_an_item_near_its_end_is_not_preempted_again_and_again() -> None:
+    """Each burst would take the slot of the item that was resumed last."""
     ledger = _ledger(1, slots=2)
     assert _batch(ledger, "new", "vm2", 0.0)
     resumed = batchorder.Standing(done_s=4.0)
@@ -180,7 +179,7 @@
     assert taken.yields == ("new",)
 
 
-def test_what_is_due_last_yields_first() -> None:
+def test_the_item_due_last_is_preempted_first() -> None:
     ledger = _ledger(1, slots=2)
     assert _batch(ledger, "soon", "vm2", 0.0, batchorder.Standing(10.0))
     assert _batch(ledger, "later", "vm2", 0.0, batchorder.Standing(30.0, 3.0))
@@ -198,8 +197,8 @@
     assert _batch(ledger, "soon", "vm1", 0.25, batchorder.Standing(10.0))
 
 
-def test_who_cannot_use_a_free_slot_holds_nobody_up() -> None:
-    """A VM is cut off from one engine; others wait for it to use a slot."""
+def test_a_vm_that_cannot_use_a_free_slot_does_not_block_others() -> None:
+    """A VM is cut off from one engine; others would leave its slot free."""
     ledger = _ledger(2, slots=1)
     soon, later = batchorder.Standing(10.0), batchorder.Standing(30.0)
     assert _batch(ledger, "b1", "vm1", 0.0)
@@ -222,7 +221,7 @@
 
 
 @hypothesis.given(_STEPS)
-def test_batch_never_goes_over_the_slots_and_counts_add_up(
+def test_batch_never_exceeds_the_slots_and_counts_add_up(
     steps: list[tuple[str, int]],
 ) -> None:
     ledger = _ledger(3, slots=4)
