--- a/packages/gateway/gateway/decisions/__init__.py
+++ b/packages/gateway/gateway/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""What the gateway decides, apart from input and output.
+"""The gateway's decision logic, without input and output.
 
-Times, randomness and what was observed come in as arguments, so that a test
+Times, randomness and observations are passed in as arguments, so that a test
 can replay a load on these modules alone.
 """
--- a/packages/gateway/gateway/decisions/backlog.py
+++ b/packages/gateway/gateway/decisions/backlog.py
@@ -1,7 +1,6 @@
-"""How much a customer's batch items that wait leave room for.
+"""The bound on the tokens that a customer may have waiting on a route.
 
-The load: floods of batch jobs, at many VMs at once, against a bound on the
-tokens that one customer may have waiting on a route.
+The bound limits floods of batch jobs that arrive at many VMs at once.
 """
 
 from collections.abc import Iterable
@@ -10,44 +9,49 @@
 from gateway import jobrecords
 
 _MS_PER_S = 1000.0
-# A job that is late may end at any moment.
+# Least remaining time assumed for an open job, as a late job may end at any
+# moment.
 _MIN_LEFT_S = 1.0
 _MIN_RETRY_S = 0.3
 _MAX_RETRY_S = 30.0
 
 
 class Demand(NamedTuple):
-    """A job that asks for room.
+    """The room that a new job needs in a backlog.
 
     Attributes:
-        tokens: Of all its items.
-        bound: Tokens that may wait, with the job's own.
+        tokens: The tokens of all its items.
+        bound: The most tokens that may wait, including those of the job.
     """
 
     tokens: int
     bound: int
 
     def fits(self, waiting_tokens: int) -> bool:
-        """Tells whether there is room beside what waits."""
+        """Returns whether the job fits beside the waiting tokens."""
         return waiting_tokens + self.tokens <= self.bound
 
 
 def count(opened: Iterable[jobrecords.OpenJob]) -> int:
-    """Returns the tokens of open jobs' items that have no result."""
+    """Returns the total tokens of open jobs' items that have no result."""
     return sum(row.tokens for row in opened)
 
 
 def retry_after_s(
     opened: Iterable[jobrecords.OpenJob], demand: Demand, now_ms: int
 ) -> float:
-    """Returns when there is likely to be room; 0 if there will be none.
+    """Returns the time until a job is likely to fit, in seconds.
 
-    Jobs are taken to end evenly until they are due.
+    The estimate assumes that the tokens of each open job are processed at an
+    even rate until the job is due.
 
     Args:
         opened: The customer's open jobs on the route.
-        demand: What does not fit beside them.
-        now_ms: By the time of day, in milliseconds of the epoch.
+        demand: The job that does not fit beside them.
+        now_ms: The current time, in milliseconds since the epoch.
+
+    Returns:
+        The time; 0 if the job can never fit.
     """
     rows = list(opened)
     excess = count(rows) + demand.tokens - demand.bound
--- a/packages/gateway/gateway/decisions/leases.py
+++ b/packages/gateway/gateway/decisions/leases.py
@@ -1,25 +1,28 @@
-"""How long a VM's lease in the platform's store is, and how often renewed.
+"""The duration and renewal of a VM's lease in the platform's store.
 
-The load: renewals of all VMs are, of all calls to the store, those that grow
-first with a fleet.
+Of all calls to the store, renewals are the first to grow with the fleet.
 """
 
-# A VM that died is missed after this.
+# Duration of a lease; the loss of a VM is noticed when its lease expires.
 LEASE_S = 4.0
-# How often a VM looks after its lease.
+# Longest interval between a VM's checks of whether its lease needs renewal.
 LOOK_S = 0.9
-# In a fleet of this size a lease is renewed with each look, in a larger one the
-# less often the more VMs there are, but with every second look.
-_VMS_AT_PACE = 12
+# In a fleet of this size a lease is renewed at each check. In a larger fleet
+# renewals become rarer with the square root of the size, but at least every
+# second check renews the lease.
+_VMS_AT_FULL_RATE = 12
 _MIN_AGE_S = 0.65
 _MAX_AGE_S = 1.3
 
 
 def renewal_age_s(vms: int) -> float:
-    """Returns how old a renewal has to be for the next one.
+    """Returns the age of the last renewal at which the next one is due.
 
     Args:
-        vms: The size of the fleet.
+        vms: The number of VMs in the fleet.
+
+    Returns:
+        The age in seconds.
     """
-    slower: float = (vms / _VMS_AT_PACE) ** 0.5
-    return min(_MIN_AGE_S * slower, _MAX_AGE_S)
+    factor: float = (vms / _VMS_AT_FULL_RATE) ** 0.5
+    return min(_MIN_AGE_S * factor, _MAX_AGE_S)
--- a/packages/gateway/gateway/decisions/probing.py
+++ b/packages/gateway/gateway/decisions/probing.py
@@ -1,29 +1,31 @@
-"""How often a VM tries its lost way to the platform's store.
+"""The interval at which a VM probes the platform's store after losing it.
 
-The load: the store goes away for a fleet of hundreds of VMs. Tries of all of
-them, several times a second, have their price and are what the store meets as
-it comes back.
+The store may be unreachable for a fleet of hundreds of VMs. Probes of all of
+them several times a second cost money and load the store as it comes back.
 """
 
-# VMs that try a store which is away for all; the others ask these.
+# Number of VMs that probe a store which no VM reaches; the others ask these.
 PROBERS = 4
-# Entries that lapsed have to be there two seconds after the store's return,
-# so it has to be found well before.
-_FAST_S = 0.4
-_OTHERS_S = 2.0
-# While others call for this VM its own way is not urgent.
-_FIRST_S = 1.0
-_MOST_S = 4.0
+# Expired entries have to be restored two seconds after the store's return, so
+# the return has to be noticed well before.
+_PROBER_PAUSE_S = 0.4
+_NON_PROBER_PAUSE_S = 2.0
+# While other VMs pass on this VM's calls, its own connection is not urgent.
+_MIN_HELPED_PAUSE_S = 1.0
+_MAX_HELPED_PAUSE_S = 4.0
 
 
 def pause_s(lost_s: float, *, is_away: bool, is_prober: bool) -> float:
-    """Returns how long to wait until the next try.
+    """Returns how long to wait until the next probe.
 
     Args:
-        lost_s: For how long the way is lost.
+        lost_s: For how long this VM has not reached the store, in seconds.
         is_away: Whether no other VM reaches the store either.
-        is_prober: Whether this VM is one of those that try for all.
+        is_prober: Whether this VM is one of those that probe for all.
+
+    Returns:
+        The pause in seconds.
     """
     if is_away:
-        return _FAST_S if is_prober else _OTHERS_S
-    return min(max(_FIRST_S, lost_s), _MOST_S)
+        return _PROBER_PAUSE_S if is_prober else _NON_PROBER_PAUSE_S
+    return min(max(_MIN_HELPED_PAUSE_S, lost_s), _MAX_HELPED_PAUSE_S)
--- a/packages/gateway/gateway/decisions/streamretries.py
+++ b/packages/gateway/gateway/decisions/streamretries.py
@@ -1,115 +1,141 @@
-"""When a stream that is silent is begun, or goes on, at another upstream.
-
-The load: an upstream is cut off or freezes, and what runs there falls silent;
-another one can still be on time. The same silence comes of engines that are
-all full: elsewhere a stream begins no sooner then, what the first engine had
-read is lost, and the second run makes the others slower. So of all streams
-only a share may be given up early, as a retry budget has it, and none that is
-as late as streams of its route usually are: a long prompt takes its time at
-any engine.
+"""When a silent stream is retried or continued at another upstream.
+
+When an upstream is cut off or freezes, its streams fall silent, and another
+upstream can still be on time. Streams are silent as well when all engines are
+full: then a stream starts no sooner elsewhere, the prompt that the first engine
+has read is lost, and the second run slows the others down. So a retry budget
+limits the share of streams that are given up early. A stream is also not given
+up while it is only as late as streams of its route usually are, since a long
+prompt takes its time at any engine.
 """
 
 from typing import NamedTuple
 
-# Of a target, the part after which a stream with a free slot is begun
-# elsewhere; what is left is for that.
-_FIRST_SHARE = 0.6
-# Of the longest pause on time, and the least: a process may stand still for a
-# tenth of a second.
+# Share of the target after which a stream with a free slot is retried at
+# another upstream; the rest of the target is for the retry.
+_FIRST_EVENT_SHARE = 0.6
+# Share of the target for pauses after which a stream is given up, and the least
+# silence: a process may be paused for a tenth of a second.
 _GAP_SHARE = 0.65
 _MIN_SILENCE_S = 0.15
-# The silence after which any request that may be repeated is tried elsewhere.
-_PATIENT_S = 1.0
+# The silence after which any repeatable request is retried at another upstream:
+# a least time, and a multiple of the target.
+_MIN_PATIENT_S = 1.0
 _PATIENT_TARGETS = 3.0
-# Of the streams sent, so many may be given up early; what a moment in which
-# upstreams are cut off takes is saved up.
+# Share of the streams sent that may be given up early, and the most unused
+# retries that are saved up for a moment at which upstreams are cut off.
 _BUDGET_SHARE = 0.1
-_MOST_SAVED = 3.0
-# The smoothed time of first events and its deviation, as RFC 6298 has them
-# for round trips.
+_MAX_BUDGET = 3.0
+# Weights of the smoothed time to the first event and of its deviation, as for
+# round trips in RFC 6298.
 _MEAN_WEIGHT = 1 / 8
 _DEVIATION_WEIGHT = 1 / 4
 _DEVIATIONS = 2.0
-# Routes come and go with the configuration; beyond so many all are forgotten.
-_MOST_ROUTES = 4096
+# Routes come and go with the configuration; beyond this number the times of all
+# routes are dropped.
+_MAX_ROUTES = 4096
 
 
-class _Usual(NamedTuple):
-    """How long a route's first events take."""
+class _FirstEventTimes(NamedTuple):
+    """The smoothed time to the first event of a route's streams.
+
+    Attributes:
+        mean_s: The smoothed time, in seconds.
+        deviation_s: The smoothed deviation from it, in seconds.
+    """
 
     mean_s: float
     deviation_s: float
 
-    def after(self, took_s: float) -> "_Usual":
-        """Returns what it is once one more was seen.
+    def updated(self, took_s: float) -> "_FirstEventTimes":
+        """Returns the times updated by another stream's time.
 
-        One that met a frozen upstream counts as twice the mean at most, else
-        the next ones there would pass for usual.
+        The time counts as twice the mean at most. Otherwise one stream at a
+        frozen upstream would make the silence of the next ones look usual.
         """
-        off_s = min(took_s, 2 * self.mean_s) - self.mean_s
-        off_mean_s = abs(off_s) - self.deviation_s
-        return _Usual(
-            self.mean_s + off_s * _MEAN_WEIGHT,
-            self.deviation_s + off_mean_s * _DEVIATION_WEIGHT,
+        difference_s = min(took_s, 2 * self.mean_s) - self.mean_s
+        excess_s = abs(difference_s) - self.deviation_s
+        return _FirstEventTimes(
+            self.mean_s + difference_s * _MEAN_WEIGHT,
+            self.deviation_s + excess_s * _DEVIATION_WEIGHT,
         )
 
-    def outlier_s(self) -> float:
-        """Returns what hardly any of them takes."""
+    def upper_bound_s(self) -> float:
+        """Returns a time that hardly any stream exceeds, in seconds."""
         return self.mean_s + _DEVIATIONS * self.deviation_s
 
 
 class StreamRetries:
-    """How long silence may last, and the budget for less than that.
+    """The allowed silence of streams and the budget for early retries.
 
-    Any thread may call it; two at once may lose a count, which does no harm.
+    Any thread may call the methods. One of two concurrent updates may be lost,
+    which is harmless.
     """
 
     def __init__(self) -> None:
-        self._saved = _MOST_SAVED
-        self._usual: dict[str, _Usual] = {}
+        self._budget = _MAX_BUDGET
+        self._first_event_times: dict[str, _FirstEventTimes] = {}
 
     def note_send(self) -> None:
-        """Notes a stream that was sent to an upstream."""
-        self._saved = min(_MOST_SAVED, self._saved + _BUDGET_SHARE)
+        """Records that a stream was sent to an upstream."""
+        self._budget = min(_MAX_BUDGET, self._budget + _BUDGET_SHARE)
 
     def note_given_up(self) -> None:
-        """Notes a stream that was given up as silent."""
-        self._saved -= 1.0
+        """Records that a stream was given up as silent."""
+        self._budget -= 1.0
 
     def note_first_event(self, route: str, took_s: float) -> None:
-        """Notes how long a stream with a free slot took to begin."""
-        usual = self._usual.get(route)
-        if usual is not None:
-            self._usual[route] = usual.after(took_s)
+        """Records the time to the first event of a stream with a free slot."""
+        times = self._first_event_times.get(route)
+        if times is not None:
+            self._first_event_times[route] = times.updated(took_s)
             return
-        if len(self._usual) >= _MOST_ROUTES:
-            self._usual.clear()
-        self._usual[route] = _Usual(took_s, took_s / 2)
+        if len(self._first_event_times) >= _MAX_ROUTES:
+            self._first_event_times.clear()
+        self._first_event_times[route] = _FirstEventTimes(took_s, took_s / 2)
 
     def first_event_s(
         self, route: str, target_s: float, *, is_free: bool
     ) -> float:
-        """Returns how long a stream may take to begin.
+        """Returns how long a stream may take to its first event.
 
         Args:
-            route: Names the route that it came on.
-            target_s: When its first event is due.
-            is_free: Whether it has a slot of its own and does not wait
-                inside the engine.
+            route: The name of the stream's route.
+            target_s: The target for the first event, in seconds.
+            is_free: Whether the stream has a free slot and does not wait in
+                the engine's queue.
+
+        Returns:
+            The time in seconds.
         """
-        usual = self._usual.get(route)
-        if not is_free or self._saved < 1.0 or usual is None:
+        times = self._first_event_times.get(route)
+        if not is_free or self._budget < 1.0 or times is None:
             return patient_s(target_s)
-        least_s = max(target_s * _FIRST_SHARE, _MIN_SILENCE_S)
-        return min(max(least_s, usual.outlier_s()), patient_s(target_s))
+        least_s = max(target_s * _FIRST_EVENT_SHARE, _MIN_SILENCE_S)
+        return min(max(least_s, times.upper_bound_s()), patient_s(target_s))
 
     def gap_s(self, gap_target_s: float, target_s: float) -> float:
-        """Returns how long a stream that has begun may pause."""
-        if not gap_target_s or self._saved < 1.0:
+        """Returns how long a stream may pause between two events.
+
+        Args:
+            gap_target_s: The target for pauses, in seconds; 0 for none.
+            target_s: The target for the first event, in seconds.
+
+        Returns:
+            The time in seconds.
+        """
+        if not gap_target_s or self._budget < 1.0:
             return patient_s(target_s)
         return max(gap_target_s * _GAP_SHARE, _MIN_SILENCE_S)
 
 
 def patient_s(target_s: float) -> float:
-    """Returns the silence after which any repeatable request is repeated."""
-    return max(_PATIENT_S, target_s * _PATIENT_TARGETS)
+    """Returns the silence after which any repeatable request is retried.
+
+    Args:
+        target_s: The target latency of the request, in seconds.
+
+    Returns:
+        The time in seconds.
+    """
+    return max(_MIN_PATIENT_S, target_s * _PATIENT_TARGETS)
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -1,4 +1,4 @@
-"""Who leads, in fleets of VMs that are alike and of a few large ones."""
+"""The choice of leaders in fleets of equal and of mixed VMs."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,10 +11,10 @@
 
 
 def test_small_vms_of_a_large_fleet_lead_nothing() -> None:
-    """165 VMs ask one on half a core behind 15 Mbit/s; its answers are late.
+    """165 VMs call a leader with half a core and 15 Mbit/s; it answers late.
 
-    Each asker then reads the store for itself, and places requests by what
-    it runs alone.
+    Each of them then reads the store for itself, and places requests by its
+    own runs alone.
     """
     vms = _vms([0.5] * 150 + [2.15] * 15)
     found = leaders.candidates(vms)
@@ -23,18 +23,18 @@
 
 
 def test_few_large_vms_do_not_lead_alone() -> None:
-    """With two leaders the loss of one moves half of all that is led."""
+    """With two leaders the loss of one moves half of the leaderships."""
     assert len(leaders.candidates(_vms([0.5] * 20 + [4.0] * 2)).vms) == 22
 
 
-def test_vms_of_an_unknown_size_are_alike() -> None:
+def test_vms_of_unknown_size_may_all_lead() -> None:
     assert len(leaders.candidates(_vms([0.0] * 9)).vms) == 9
 
 
 @hypothesis.given(
     strategies.lists(strategies.sampled_from((0.0, 0.5, 1.07, 2.15)))
 )
-def test_the_choice_is_large_enough(cores: list[float]) -> None:
+def test_enough_vms_may_lead(cores: list[float]) -> None:
     vms = _vms(cores)
     found = leaders.candidates(vms)
     assert len(found.vms) >= min(len(vms), 8)
--- a/tests/gateway/test_outliers.py
+++ b/tests/gateway/test_outliers.py
@@ -92,11 +92,11 @@
         assert len(ejected) <= 3
 
 
-def _failed_share(fails: str) -> float:
+def _failed_share(failing_engine: str) -> float:
     """Replays ten seconds of requests while one engine fails all of its own.
 
     Args:
-        fails: The engine that fails each request at once.
+        failing_engine: The engine that fails each request at once.
 
     Returns:
         The share of failed requests among those that got a slot.
@@ -118,7 +118,7 @@
         grant = ledger.take_online(run, "vm", now_s, target_s=0.3)
         if isinstance(grant, slotledger.NoRoom):
             continue
-        is_bad = grant.instance == fails
+        is_bad = grant.instance == failing_engine
         sent += 1
         failed += is_bad
         ends.append((now_s + (0.01 if is_bad else 0.5), run, is_bad))
--- a/tests/gateway/test_probing.py
+++ b/tests/gateway/test_probing.py
@@ -1,9 +1,9 @@
-"""How often VMs try a store that is lost for one of them or for all."""
+"""The intervals at which VMs probe a store that one or all have lost."""
 
 from gateway.decisions import probing
 
 
-def _tries(for_s: float, *, is_away: bool, is_prober: bool) -> int:
+def _probes(for_s: float, *, is_away: bool, is_prober: bool) -> int:
     count, at_s = 0, 0.0
     while at_s < for_s:
         at_s += probing.pause_s(at_s, is_away=is_away, is_prober=is_prober)
@@ -11,23 +11,23 @@
     return count
 
 
-def test_a_store_that_is_away_is_not_tried_by_a_whole_fleet() -> None:
-    """165 VMs tried it 2.5 times a second each, at a price for each try.
+def test_an_unreachable_store_is_not_probed_by_the_whole_fleet() -> None:
+    """165 VMs probed the store 2.5 times a second each, and each call costs.
 
-    The store allows its calls to a fleet, not to each VM: what they spend in
-    an outage must not grow faster than one try in two seconds and VM.
+    The store limits the calls of a fleet, not of each VM: in an outage the
+    calls must not grow faster than one per VM in two seconds.
     """
-    few = _tries(7.0, is_away=True, is_prober=True) * probing.PROBERS
-    others = _tries(7.0, is_away=True, is_prober=False)
-    assert others <= 4
-    assert few <= 80
+    by_probers = _probes(7.0, is_away=True, is_prober=True) * probing.PROBERS
+    by_another = _probes(7.0, is_away=True, is_prober=False)
+    assert by_another <= 4
+    assert by_probers <= 80
 
 
-def test_a_store_that_comes_back_is_found_within_a_second() -> None:
-    """Entries have two seconds to come back, and renewing takes one."""
+def test_the_return_of_the_store_is_noticed_within_a_second() -> None:
+    """Entries have to be restored in two seconds; renewing takes one."""
     assert probing.pause_s(6.0, is_away=True, is_prober=True) < 0.5
 
 
-def test_a_vm_that_others_help_tries_less_and_less() -> None:
-    assert _tries(9.0, is_away=False, is_prober=False) <= 5
+def test_a_vm_that_others_help_probes_less_and_less() -> None:
+    assert _probes(9.0, is_away=False, is_prober=False) <= 5
     assert probing.pause_s(0.0, is_away=False, is_prober=False) <= 1.0
--- a/tests/gateway/test_streamretries.py
+++ b/tests/gateway/test_streamretries.py
@@ -1,4 +1,4 @@
-"""When silent streams are given up: engines that are full, and cut ones."""
+"""Early retries of silent streams at full engines and at cut-off ones."""
 
 import random
 
@@ -8,51 +8,53 @@
 _TARGET_S = 0.3
 
 
-def _play(begins_s: list[float]) -> tuple[int, int]:
+def _play(times_s: list[float]) -> tuple[int, int]:
     """Returns how many streams are given up once, and how many are on time.
 
-    A second upstream takes as long to begin as a draw from the same.
+    Args:
+        times_s: The time to the first event of each stream. A retry takes a
+            time drawn from the same list.
     """
     retries = streamretries.StreamRetries()
     draw = random.Random(1)
     given_up = on_time = 0
-    for begin_s in begins_s:
+    for took_s in times_s:
         retries.note_send()
         silence_s = retries.first_event_s(_ROUTE, _TARGET_S, is_free=True)
-        if begin_s > silence_s:
+        if took_s > silence_s:
             retries.note_given_up()
             given_up += 1
-            second_s = draw.choice(begins_s)
+            second_s = draw.choice(times_s)
             retries.note_first_event(_ROUTE, second_s)
             on_time += silence_s + second_s <= _TARGET_S
             continue
-        retries.note_first_event(_ROUTE, begin_s)
-        on_time += begin_s <= _TARGET_S
+        retries.note_first_event(_ROUTE, took_s)
+        on_time += took_s <= _TARGET_S
     return given_up, on_time
 
 
 def test_streams_stay_where_all_engines_are_slow() -> None:
-    """Every engine is full and begins a stream after most of its target.
+    """Every engine is full and starts a stream after most of its target.
 
-    Of 70 streams 41 were broken off and begun again at an engine as full as
-    the first; 22 were on time that would have been 37.
+    Without a budget 41 of 70 streams were retried at an engine as full as the
+    first; 22 were on time instead of 37.
     """
     draw = random.Random(2)
-    begins_s = [draw.uniform(0.2, 0.29) for _ in range(200)]
-    given_up, on_time = _play(begins_s)
+    times_s = [draw.uniform(0.2, 0.29) for _ in range(200)]
+    given_up, on_time = _play(times_s)
     assert given_up <= 200 * 0.1 + 3
     assert on_time >= 200 - given_up
 
 
 def test_streams_leave_engines_that_are_cut_off() -> None:
-    """One stream in twelve meets an engine that sends nothing."""
-    begins_s = [9.0 if number % 12 == 5 else 0.05 for number in range(120)]
-    given_up, on_time = _play(begins_s)
+    """One stream in twelve is sent to an engine that sends nothing."""
+    times_s = [9.0 if number % 12 == 5 else 0.05 for number in range(120)]
+    given_up, on_time = _play(times_s)
     assert given_up == 10
     assert on_time >= 118
 
 
-def test_one_that_waits_inside_an_engine_keeps_its_place() -> None:
+def test_a_stream_in_an_engines_queue_is_not_given_up_early() -> None:
     retries = streamretries.StreamRetries()
     retries.note_first_event(_ROUTE, 0.05)
     assert retries.first_event_s(_ROUTE, _TARGET_S, is_free=False) >= 0.9
@@ -61,21 +63,22 @@
 def test_streams_with_long_prompts_stay_where_they_are_read() -> None:
     """A prompt takes most of the target to read, at any engine.
 
-    The first event is on time, and is given up shortly before it comes.
+    Early retries would give up a stream shortly before its first event, which
+    would be on time.
     """
     draw = random.Random(3)
-    begins_s = [draw.uniform(0.22, 0.26) for _ in range(4)]
-    assert _play(begins_s) == (0, 4)
+    times_s = [draw.uniform(0.22, 0.26) for _ in range(4)]
+    assert _play(times_s) == (0, 4)
 
 
-def test_a_vm_that_knows_no_first_event_is_patient() -> None:
-    """A VM just begun has a budget, and all its first streams are slow."""
+def test_without_past_first_events_no_stream_is_given_up_early() -> None:
+    """A VM that has just started has a budget; its first streams are slow."""
     retries = streamretries.StreamRetries()
     assert retries.first_event_s(_ROUTE, _TARGET_S, is_free=True) >= 0.9
 
 
-def test_what_is_usual_is_known_for_each_route() -> None:
-    """A route of short prompts says nothing of one of long prompts."""
+def test_first_event_times_are_kept_per_route() -> None:
+    """Times of short prompts must not limit a route of long prompts."""
     retries = streamretries.StreamRetries()
     for _ in range(20):
         retries.note_first_event("short", 0.05)
@@ -84,15 +87,15 @@
     assert retries.first_event_s("long", _TARGET_S, is_free=True) > 0.25
 
 
-def test_routes_that_are_gone_are_forgotten() -> None:
+def test_the_number_of_routes_is_bounded() -> None:
     retries = streamretries.StreamRetries()
     for number in range(10_000):
         retries.note_first_event(f"route-{number}", 0.05)
     assert retries.first_event_s("route-0", _TARGET_S, is_free=True) >= 0.9
 
 
-def test_pauses_have_the_same_budget() -> None:
-    """All engines stand still for a moment: no stream begins anew for it."""
+def test_pauses_share_the_budget() -> None:
+    """All engines freeze for a moment; the budget limits the retries."""
     retries = streamretries.StreamRetries()
     assert retries.gap_s(0.3, _TARGET_S) < 0.3
     for _ in range(3):
