--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -37,10 +37,10 @@
 def test_decisions_import_nothing_that_blocks() -> None:
     paths = sorted(_FOLDER.glob("*.py"))
     assert len(paths) > 5
-    not_allowed = {
+    forbidden = {
         path.name: name
         for path in paths
         for name in _imports(path)
         if not name.startswith(_ALLOWED)
     }
-    assert not not_allowed
+    assert not forbidden
