--- a/packages/gateway/gateway/heldslots.py
+++ b/packages/gateway/gateway/heldslots.py
@@ -1,4 +1,4 @@
-"""The places on upstreams that this VM holds, and what runs on them."""
+"""The slots on upstreams that this VM holds, and the runs that use them."""
 
 from collections.abc import Callable, Iterable, Mapping
 import threading
@@ -10,7 +10,18 @@
 
 
 class Slot:
-    """A place on one upstream, held while a request runs there."""
+    """A place for one request on an upstream, held until it is released.
+
+    Attributes:
+        run: The name of the run that uses the slot.
+        upstream: The upstream.
+        standing: The batch item's standing; `None` for an online request.
+        is_free: Whether the run begins at once, according to the service's
+            leader; false if that is not known.
+        has_yielded: Whether the slot was preempted.
+        outcome: How the run ended, as far as known.
+        held_since_s: When the slot was taken, by the monotonic clock.
+    """
 
     def __init__(
         self,
@@ -21,14 +32,11 @@
     ) -> None:
         self.run = run
         self.upstream = upstream
-        # Of a batch item; `None` for an online request.
         self.standing = standing
-        # Whether what runs here begins at once, by the engines' leader.
         self.is_free = False
         self.has_yielded = False
-        # What came of it so far.
         self.outcome: slotledger.Outcome = "unknown"
-        self.since_s = time.monotonic()
+        self.held_since_s = time.monotonic()
         self._on_release = on_release
         self._lock = threading.Lock()
         self._is_released = False
@@ -36,19 +44,25 @@
 
     @property
     def is_batch(self) -> bool:
-        """Whether a batch item runs here."""
+        """Whether a batch item uses the slot."""
         return self.standing is not None
 
     def on_yield(self, cancel: Callable[[], None]) -> None:
-        """Calls `cancel` once the slot has to be given up."""
+        """Sets the callback that ends the run when the slot is preempted.
+
+        If it is already preempted, `cancel` is called at once.
+        """
         with self._lock:
             self._cancel = cancel
             has_yielded = self.has_yielded
         if has_yielded:
             cancel()
 
-    def give_up(self) -> None:
-        """Ends what runs here, on another thread than the run's."""
+    def preempt(self) -> None:
+        """Marks the slot as preempted and ends its run.
+
+        Called from a thread other than the run's own.
+        """
         with self._lock:
             self.has_yielded = True
             cancel = self._cancel
@@ -56,7 +70,7 @@
             cancel()
 
     def release(self) -> None:
-        """Gives the slot back; idempotent."""
+        """Releases the slot; idempotent."""
         with self._lock:
             if self._is_released:
                 return
@@ -65,16 +79,16 @@
 
 
 class HeldSlots:
-    """All slots that this VM holds; any thread may call it.
+    """All slots that this VM holds; thread-safe.
 
     Args:
-        on_release: Is told of each slot that was given back, and its service.
+        on_release: Called with the service and the slot after each release.
     """
 
     def __init__(self, on_release: Callable[[str, Slot], None]) -> None:
         self._on_release = on_release
         self._lock = threading.Lock()
-        self._held: dict[str, dict[str, Slot]] = {}
+        self._by_service: dict[str, dict[str, Slot]] = {}
         self._counts: dict[str, int] = {}
 
     def hold(
@@ -84,30 +98,30 @@
         upstream: records.Upstream,
         standing: batchorder.Standing | None = None,
     ) -> Slot:
-        """Holds a slot from now on.
+        """Adds a slot and returns it.
 
         Args:
             service: The upstream's service.
-            run: Names what runs there.
+            run: The name of the run that uses the slot.
             upstream: The upstream.
-            standing: Of the batch item that runs there, if it is one.
+            standing: The batch item's standing; `None` for an online request.
         """
         slot = Slot(
             run,
             upstream,
             standing,
-            lambda slot: self._drop(service, slot),
+            lambda slot: self._remove(service, slot),
         )
         with self._lock:
-            self._held.setdefault(service, {})[run] = slot
+            self._by_service.setdefault(service, {})[run] = slot
             count = self._counts.get(upstream.instance, 0)
             self._counts[upstream.instance] = count + 1
         return slot
 
-    def _drop(self, service: str, slot: Slot) -> None:
+    def _remove(self, service: str, slot: Slot) -> None:
         instance = slot.upstream.instance
         with self._lock:
-            self._held.get(service, {}).pop(slot.run, None)
+            self._by_service.get(service, {}).pop(slot.run, None)
             left = self._counts.get(instance, 1) - 1
             if left > 0:
                 self._counts[instance] = left
@@ -116,7 +130,7 @@
         self._on_release(service, slot)
 
     def counts(self) -> Mapping[str, int]:
-        """Returns how many slots are held on each upstream that has any."""
+        """Returns the number of held slots per upstream, without zeros."""
         with self._lock:
             return dict(self._counts)
 
@@ -124,25 +138,27 @@
         """Returns all slots."""
         with self._lock:
             return [
-                slot for held in self._held.values() for slot in held.values()
+                slot
+                for held in self._by_service.values()
+                for slot in held.values()
             ]
 
     def of_service(self, service: str) -> list[Slot]:
         """Returns the slots on a service's upstreams."""
         with self._lock:
-            return list(self._held.get(service, {}).values())
+            return list(self._by_service.get(service, {}).values())
 
     def services(self) -> set[str]:
-        """Returns the services on whose upstreams any slot is held."""
+        """Returns the services with at least one held slot."""
         with self._lock:
-            return {name for name, held in self._held.items() if held}
+            return {name for name, held in self._by_service.items() if held}
 
     def find(self, runs: Iterable[str]) -> list[Slot]:
-        """Returns the slots of some runs, as far as they are held here."""
+        """Returns the slots of some runs; runs without a slot are skipped."""
         with self._lock:
             return [
                 held[run]
                 for run in runs
-                for held in self._held.values()
+                for held in self._by_service.values()
                 if run in held
             ]
--- a/packages/gateway/gateway/leading.py
+++ b/packages/gateway/gateway/leading.py
@@ -1,4 +1,4 @@
-"""Leads services: gives out the slots of their engines to all VMs."""
+"""Grants all VMs slots on the engines of the services led by this VM."""
 
 import queue
 import threading
@@ -13,31 +13,33 @@
 
 _events = eventlog.Events("leading")
 
-_TELL_TIMEOUT_S = 0.3
+_YIELD_TIMEOUT_S = 0.3
 
 
-class Leading:
-    """Holds the ledgers of the services that this VM leads.
+class SlotLeader:
+    """Holds the slot ledgers of the services that this VM leads.
 
-    Any VM answers for any service: who leads is the askers' to know.
+    Any VM answers for any service; the requesting VM chooses the leader.
     """
 
     def __init__(
         self, upstreams: upstreamlist.UpstreamList, peers: services.Peers
     ) -> None:
-        self._list = upstreams
+        self._upstreams = upstreams
         self._peers = peers
         self._ledger_lock = threading.Lock()
         self._ledgers: dict[str, slotledger.Ledger] = {}
-        self._yields: queue.SimpleQueue[tuple[str, str] | None] = (
+        # The VM and the name of each batch run that has to yield.
+        self._pending_yields: queue.SimpleQueue[tuple[str, str] | None] = (
             queue.SimpleQueue()
         )
 
     def start(self) -> None:
-        """Begins to answer other VMs."""
+        """Starts to answer other VMs."""
         handle = self._peers.handle
-        # All on the reading thread, so that a VM's messages keep their
-        # order: a report sent before a release must not come after it.
+        # All handlers run on the thread that reads the connection, so that a
+        # VM's messages keep their order: a report sent before a release must
+        # not be applied after it.
         for kind, handler in (
             (slotmessages.Take, self._on_take),
             (slotmessages.TakeBatch, self._on_take_batch),
@@ -50,8 +52,8 @@
         ).start()
 
     def stop(self) -> None:
-        """Ends the thread."""
-        self._yields.put(None)
+        """Stops the thread."""
+        self._pending_yields.put(None)
 
     def dump(self) -> Any:
         """Returns how many runs each engine has, by service."""
@@ -62,16 +64,16 @@
             }
 
     def refresh(self) -> None:
-        """Takes the engines that there are now."""
+        """Updates all ledgers to the engines that are listed now."""
         with self._ledger_lock:
             for service, ledger in self._ledgers.items():
-                ledger.set_engines(self._list.usable(service))
+                ledger.set_engines(self._upstreams.usable(service))
 
     def _ledger(self, service: str) -> slotledger.Ledger:
         ledger = self._ledgers.get(service)
         if ledger is None:
             ledger = self._ledgers[service] = slotledger.Ledger()
-            ledger.set_engines(self._list.usable(service))
+            ledger.set_engines(self._upstreams.usable(service))
             _events.info("leads", service=service)
         return ledger
 
@@ -91,8 +93,8 @@
         if isinstance(taken, slotledger.NoRoom):
             return slotmessages.Taken("", taken.retry_after_s, taken.occupancy)
         for run in taken.yields:
-            # A run's name begins with its VM's.
-            self._yields.put((run.rsplit(".", 2)[0], run))
+            # A run's name begins with the name of its VM.
+            self._pending_yields.put((run.rsplit(".", 2)[0], run))
         return slotmessages.Taken(taken.instance, 0.0, None, taken.is_queued)
 
     def _on_take_batch(
@@ -131,10 +133,10 @@
         return slotmessages.Done()
 
     def _send_yields(self) -> None:
-        while (row := self._yields.get()) is not None:
+        while (row := self._pending_yields.get()) is not None:
             vm, run = row
             answer = self._peers.call(
-                vm, slotmessages.Yield((run,)), _TELL_TIMEOUT_S
+                vm, slotmessages.Yield((run,)), _YIELD_TIMEOUT_S
             )
             if answer.is_err():
                 _events.warning("yield_lost", peer=vm, run=run)
--- a/packages/gateway/gateway/slotmessages.py
+++ b/packages/gateway/gateway/slotmessages.py
@@ -1,4 +1,4 @@
-"""What VMs tell the leader of a service about its slots, and back."""
+"""Messages between VMs and the leader of a service about its slots."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,15 @@
 
 
 class Take(NamedTuple):
-    """Asks a service's leader for a slot for an online request."""
+    """Asks a service's leader for a slot for an online request.
+
+    Attributes:
+        service: The service.
+        run: The run's name, unique over all VMs.
+        target_s: The time in which the answer should begin, in seconds.
+        excluded: Upstreams that are not to be used.
+        domain: The failure domain of the requesting VM.
+    """
 
     service: str
     run: str
@@ -16,12 +24,12 @@
 
 
 class Taken(NamedTuple):
-    """The engine; empty if there is no room before `retry_after_s`.
+    """The answer to `Take`: the engine whose slot is granted, if any.
 
     Attributes:
-        instance: The engine's name.
-        retry_after_s: When to come back.
-        occupancy: How full the engines are if there is no room.
+        instance: The engine's name; empty if no slot is granted.
+        retry_after_s: Seconds until a retry, if no slot is granted.
+        occupancy: How full the engines are, if no slot is granted.
         is_queued: Whether the request has to wait inside the engine.
     """
 
@@ -36,7 +44,7 @@
 
     Attributes:
         service: The service.
-        runs: One for each slot asked for, those that come first in front.
+        runs: One run for each requested slot, in the order of their turn.
         excluded: Upstreams that are not to be used.
     """
 
@@ -46,20 +54,25 @@
 
 
 class TakenBatch(NamedTuple):
-    """The engines of the first of the runs asked for."""
+    """The answer to `TakeBatch`.
+
+    Attributes:
+        instances: The engines for the first of the requested runs, in order;
+            the other runs get no slot.
+    """
 
     instances: tuple[str, ...]
 
 
 class Released(NamedTuple):
-    """A run that ended, and how."""
+    """A run that has ended, and its outcome."""
 
     run: str
     outcome: slotledger.Outcome
 
 
 class News(NamedTuple):
-    """Gives slots back, and tells what engines said of their load."""
+    """Reports released slots and the loads that engines reported."""
 
     service: str
     released: tuple[Released, ...]
@@ -67,17 +80,17 @@
 
 
 class Report(NamedTuple):
-    """All that a VM runs on the engines of a service."""
+    """All runs of a VM on the engines of a service."""
 
     service: str
     rows: tuple[slotledger.ReportRow, ...]
 
 
 class Yield(NamedTuple):
-    """Asks a VM to end batch runs, whose slots are given to others."""
+    """Asks a VM to end batch runs whose slots were granted to others."""
 
     runs: tuple[str, ...]
 
 
 class Done(NamedTuple):
-    """The answer to a message that asks nothing."""
+    """The answer to a message that needs no reply data."""
--- a/packages/gateway/gateway/timedcalls.py
+++ b/packages/gateway/gateway/timedcalls.py
@@ -1,4 +1,4 @@
-"""Calls to other VMs that wait as long as their answers usually take."""
+"""Calls to other VMs, with timeouts based on their recent answer times."""
 
 import time
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class TimedCalls:
-    """Calls VMs for a caller who waits; see `decisions.calltimes`."""
+    """Calls other VMs, with a timeout per VM from `decisions.calltimes`."""
 
     def __init__(self, peers: services.Peers) -> None:
         self._peers = peers
@@ -19,11 +19,19 @@
     def call(
         self, vm: str, message: Any
     ) -> result.Result[Any, services.PeerError]:
-        """Sends a message and returns the answer."""
-        asked_s = time.monotonic()
+        """Sends a message and returns the answer.
+
+        Args:
+            vm: The VM's name.
+            message: A message of a type that the VM handles.
+
+        Returns:
+            The answer, or the error of `services.Peers.call`.
+        """
+        sent_s = time.monotonic()
         answer = self._peers.call(vm, message, self._times.timeout_s(vm))
         if answer.is_ok():
-            self._times.note(vm, time.monotonic() - asked_s)
+            self._times.note(vm, time.monotonic() - sent_s)
         else:
             self._times.note_timeout(vm)
         return answer
