--- a/packages/gateway/gateway/metrics.py
+++ b/packages/gateway/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text for a scraper."""
+"""Serves counters, gauges and latency histograms to a Prometheus scraper."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -20,15 +20,16 @@
 
 PATH = "/metrics"
 _THREADS = 2
-# A series each; whoever is refused has the fewest tokens left.
+# Bounds the number of series. Customers that are refused have the fewest
+# tokens left, so they are among those reported.
 _MAX_CUSTOMERS = 20
-# Around what callers are promised: first events within 300 ms, whole answers
-# within a few seconds.
+# Chosen around the latencies promised to callers: first events within 300 ms
+# and complete answers within a few seconds.
 _BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
 
 
-class _State(prometheus_registry.Collector):
-    """Reads at each scrape what other services hold anyway."""
+class _StateCollector(prometheus_registry.Collector):
+    """Collects metrics from other services' state at each scrape."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
@@ -37,7 +38,7 @@
         self._list = kernel.find(names.UPSTREAM_LIST, upstreamlist.UpstreamList)
 
     def collect(self) -> Iterable[prometheus_core.Metric]:
-        """Yields the metrics as they are now."""
+        """Yields the current metrics."""
         calls = prometheus_core.CounterMetricFamily(
             "bulrushdeal_store_calls",
             "Calls to the platform's store.",
@@ -57,7 +58,7 @@
             "How long ago the list of upstreams was read, -1 if never.",
             value=self._list.age_s(),
         )
-        yield self._slots()
+        yield self._slots_held()
         rates_ = self._kernel.find(names.RATES, rates.Rates)
         yield prometheus_core.CounterMetricFamily(
             "bulrushdeal_over_rate",
@@ -69,7 +70,7 @@
             "Tokens that this VM has left for the customers with the fewest.",
             labels=["customer"],
         )
-        for left in rates_.emptiest(_MAX_CUSTOMERS):
+        for left in rates_.lowest_balances(_MAX_CUSTOMERS):
             tokens.add_metric([left.customer], left.tokens)
         yield tokens
         lost = prometheus_core.CounterMetricFamily(
@@ -81,7 +82,7 @@
             lost.add_metric([event], count)
         yield lost
 
-    def _slots(self) -> prometheus_core.Metric:
+    def _slots_held(self) -> prometheus_core.Metric:
         held = self._kernel.find(names.PLACEMENT, placement.Placement).held()
         slots = prometheus_core.GaugeMetricFamily(
             "bulrushdeal_slots_held",
@@ -94,7 +95,7 @@
 
 
 class Metrics:
-    """Counts what callers got, and serves all metrics of the process."""
+    """Counts answers to callers and serves all metrics of the process."""
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: records.Settings
@@ -109,14 +110,14 @@
             ["status"],
             registry=self._registry,
         )
-        self._whole_s = prometheus_client.Histogram(
+        self._request_s = prometheus_client.Histogram(
             "bulrushdeal_request_seconds",
             "From a request's arrival to the end of its answer.",
             ["kind", "outcome"],
             buckets=_BUCKETS_S,
             registry=self._registry,
         )
-        self._first_s = prometheus_client.Histogram(
+        self._first_event_s = prometheus_client.Histogram(
             "bulrushdeal_first_event_seconds",
             "From a request's arrival to the first event of its stream.",
             buckets=_BUCKETS_S,
@@ -124,15 +125,15 @@
         )
 
     def start(self) -> None:
-        """Listens, if an address is set."""
-        self._registry.register(_State(self._kernel))
+        """Registers the metrics and serves them if an address is set."""
+        self._registry.register(_StateCollector(self._kernel))
         if not self._address:
             return
         self._server = httpd.Server(self._address, self._serve, _THREADS)
         self._server.start()
 
     def stop(self, grace_s: float) -> None:
-        """Closes the address."""
+        """Stops the server."""
         del grace_s
         if self._server is not None:
             self._server.stop(0.1)
@@ -142,19 +143,25 @@
         return {"address": self._address}
 
     def answered(self, status: int) -> None:
-        """Counts an answer's head."""
+        """Counts an answer by its status."""
         self._answers.labels(str(status)).inc()
 
     def ended(self, kind: str, outcome: str, took_s: float) -> None:
-        """Counts a request that is over."""
-        self._whole_s.labels(kind, outcome).observe(took_s)
+        """Records the duration of a request that has ended.
+
+        Args:
+            kind: The kind of its route.
+            outcome: How it ended.
+            took_s: From its arrival to the end of its answer, in seconds.
+        """
+        self._request_s.labels(kind, outcome).observe(took_s)
 
     def first_event(self, took_s: float) -> None:
-        """Counts a stream that has begun."""
-        self._first_s.observe(took_s)
+        """Records the time from a request to its stream's first event."""
+        self._first_event_s.observe(took_s)
 
     def text(self) -> bytes:
-        """Returns all metrics as a scraper reads them."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def _serve(self, request: httpd.Request) -> httpd.Response:
--- a/packages/gateway/gateway/rates.py
+++ b/packages/gateway/gateway/rates.py
@@ -1,8 +1,9 @@
-"""Each customer's rate and burst over all VMs together.
+"""Limits each customer's rate and burst over all VMs together.
 
-One VM owns a customer's bucket and the others ask it for each request. It
-is in memory: a new owner begins with less than the operators tolerate in
-excess, so that owners that replace each other never add up to a breach.
+One VM owns a customer's token bucket and the others ask it for a token for
+each request. The bucket is in memory only: a new owner starts with fewer
+tokens than the excess that operators tolerate, so that owners that replace
+each other do not exceed the limit in total.
 """
 
 import heapq
@@ -24,36 +25,37 @@
 
 _events = eventlog.Events("rates")
 
-# From one owner to another, for a VM that does not reach it.
-_PASS_ON_TIMEOUT_S = 0.25
+# For a request forwarded to the owner on behalf of a VM that cannot reach it.
+_FORWARD_TIMEOUT_S = 0.25
 _MAX_OWNERS = 2
-# Two owners may begin within one window, so each gets half of the excess.
+# Part of the tolerated excess that a new owner starts with: two owners may
+# start within one window.
 _OPENING_SHARE = 0.5
-# What a VM without an owner lets through, of its even share of the rate:
-# the others' owner does not know and gives away all of it.
-_ALONE_SHARE = 0.5
+# Part of its even share of the rate that a VM allows when it reaches no owner.
+# The owner that the other VMs reach still gives out the whole rate.
+_FALLBACK_SHARE = 0.5
 _MAX_BUCKETS = 20_000
 
 
 class Spend(NamedTuple):
-    """Asks a customer's owner for a token.
+    """Asks the owner of a customer's bucket for a token.
 
     Attributes:
-        customer: Whose.
-        is_passed_on: Whether a VM passes it on for one that does not reach
-            the owner.
+        customer: The customer's name.
+        is_forwarded: Whether the message is forwarded for a VM that cannot
+            reach the owner.
     """
 
     customer: str
-    is_passed_on: bool = False
+    is_forwarded: bool = False
 
 
 class Spent(NamedTuple):
-    """A token, or when to come back.
+    """The answer to `Spend`.
 
     Attributes:
-        is_allowed: Whether there was one.
-        retry_after_s: When there will be one, if there was none.
+        is_allowed: Whether a token was taken.
+        retry_after_s: Seconds until the next token, if none was left.
     """
 
     is_allowed: bool
@@ -61,33 +63,33 @@
 
 
 class TokensLeft(NamedTuple):
-    """A customer that this VM gives tokens to, and how many are left."""
+    """The tokens left in a customer's bucket on this VM."""
 
     customer: str
     tokens: float
 
 
 class Rates:
-    """Asks owners for tokens, and owns some customers' buckets."""
+    """Takes tokens from buckets' owners and owns some customers' buckets."""
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: records.Settings
     ) -> None:
         self._kernel = kernel
         self._vm = settings.vm
-        self._opening = settings.limit_slack * _OPENING_SHARE
+        self._opening_tokens = settings.limit_slack * _OPENING_SHARE
         self._window_s = settings.limit_window_s
         self._lock = threading.Lock()
-        self._owned: dict[str, tokens.OwnedBucket] = {}
-        self._alone: dict[str, tokens.Bucket] = {}
-        self._refused = 0
+        self._owned_buckets: dict[str, tokens.OwnedBucket] = {}
+        self._fallback_buckets: dict[str, tokens.Bucket] = {}
+        self._refused_count = 0
 
     def start(self) -> None:
-        """Begins to answer other VMs."""
+        """Starts to answer other VMs."""
         find = self._kernel.find
         self._members = find(services.MEMBERSHIP, members.Members)
         self._peers = find(services.PEERS, services.Peers)
-        self._timed = timedcalls.TimedCalls(self._peers)
+        self._timed_calls = timedcalls.TimedCalls(self._peers)
         self._feed = find(names.CONFIGURATION, configuration.Feed)
         self._peers.handle(Spend, self._on_spend)
         self._peers.understand(Spent)
@@ -97,69 +99,75 @@
         del grace_s
 
     def dump(self) -> Any:
-        """Returns how many buckets are held here."""
-        return {"owned": len(self._owned), "refused": self._refused}
-
-    def emptiest(self, most: int) -> list[TokensLeft]:
-        """Returns the customers with the fewest tokens left here."""
+        """Returns the number of owned buckets and of refused tokens."""
+        return {
+            "owned": len(self._owned_buckets),
+            "refused": self._refused_count,
+        }
+
+    def lowest_balances(self, limit: int) -> list[TokensLeft]:
+        """Returns the customers with the fewest tokens left on this VM."""
         with self._lock:
             rows = [
                 TokensLeft(name, bucket.left())
-                for name, bucket in self._owned.items()
+                for name, bucket in self._owned_buckets.items()
             ]
-        return heapq.nsmallest(most, rows, key=lambda row: row.tokens)
+        return heapq.nsmallest(limit, rows, key=lambda row: row.tokens)
 
     def refused(self) -> int:
         """Returns how many tokens this VM refused as an owner."""
-        return self._refused
+        return self._refused_count
 
     def take(
         self, customer: records.Customer
     ) -> result.Result[None, tokens.Denied]:
-        """Takes a token for a request, or tells when to come back."""
+        """Takes a token for a request, or returns when to retry."""
         if customer.rate_per_s <= 0:
             return result.Ok(None)
         if not self._members.is_known():
-            # The failure: a VM that starts while the store loses answers
-            # would own every customer, beside those that do.
-            return self._take_alone(customer)
+            # A VM that starts while the store loses answers does not know
+            # the other VMs, and would act as a second owner of every
+            # customer.
+            return self._take_from_share(customer)
         message = Spend(customer.name)
-        for vm in self._whom_to_ask(_key(customer.name)):
-            answer = self._timed.call(vm, message)
+        for vm in self._vms_to_ask(_bucket_key(customer.name)):
+            answer = self._timed_calls.call(vm, message)
             if answer.is_ok():
-                return self._told(answer.unwrap())
+                return self._to_result(answer.unwrap())
             self._members.suspect(vm)
-            # It may have taken the token, and may be only slow: another
-            # owner beside it would give out the whole rate once more.
+            # The owner may only be slow and may have taken the token. A
+            # second owner beside it would give out the whole rate again.
             if answer.unwrap_err().kind == "timeout":
                 break
-        return self._take_alone(customer)
+        return self._take_from_share(customer)
 
-    def _whom_to_ask(self, key: str) -> list[str]:
-        """Returns the owner; for one that is not reached, who may know more.
+    def _vms_to_ask(self, key: str) -> list[str]:
+        """Returns the VMs to ask for a token, in order.
 
-        A VM that would stand in for the owner asks another one first, which
-        may reach it.
+        If this VM would stand in for an unreachable owner, it asks another
+        VM first, which may still reach the owner.
         """
         ranked = self._members.leaders(key)[:_MAX_OWNERS]
         is_stand_in = ranked[0] == self._vm != self._members.first(key)
         return ranked[::-1] if is_stand_in else ranked
 
-    def _told(self, spent: Spent) -> result.Result[None, tokens.Denied]:
+    def _to_result(self, spent: Spent) -> result.Result[None, tokens.Denied]:
         if spent.is_allowed:
             return result.Ok(None)
         return result.Err(tokens.Denied(spent.retry_after_s))
 
-    def _take_alone(
+    def _take_from_share(
         self, customer: records.Customer
     ) -> result.Result[None, tokens.Denied]:
-        """Goes by this VM's own share, cut off from the customer's owner."""
-        fraction = _ALONE_SHARE / self._members.count()
+        """Takes a token from this VM's share, without the owner."""
+        fraction = _FALLBACK_SHARE / self._members.count()
         now_s = time.monotonic()
         with self._lock:
-            bucket = self._alone.get(customer.name)
+            bucket = self._fallback_buckets.get(customer.name)
             if bucket is None:
-                bucket = self._alone[customer.name] = tokens.Bucket(1.0, now_s)
+                bucket = self._fallback_buckets[customer.name] = tokens.Bucket(
+                    1.0, now_s
+                )
             denied = bucket.take(
                 customer.rate_per_s * fraction,
                 customer.burst * fraction,
@@ -172,29 +180,29 @@
         held = self._feed.current()
         row = None if held is None else held.customers.get(message.customer)
         if row is None:
-            # The asker knows a newer configuration than this VM, which has
-            # no row to go by: the request is refused until it has caught up.
+            # The calling VM has a newer configuration. Without the customer's
+            # row this VM refuses requests until it has that version, too.
             return Spent(False, configuration.WATCH_WAIT_S)
         if row.rate_per_s <= 0:
             return Spent(True, 0.0)
-        key = _key(row.name)
-        for _ in range(0 if message.is_passed_on else _MAX_OWNERS):
+        key = _bucket_key(row.name)
+        for _ in range(0 if message.is_forwarded else _MAX_OWNERS):
             owner = self._members.leaders(key)[0]
             if owner == self._vm:
                 break
-            passed_on = self._pass_on(owner, row.name)
-            if passed_on is not None:
-                return passed_on
+            forwarded = self._forward(owner, row.name)
+            if forwarded is not None:
+                return forwarded
         return self._spend(row, self._role(key))
 
-    def _pass_on(self, owner: str, customer: str) -> Spent | None:
-        """Asks the owner for a VM that does not reach it.
+    def _forward(self, owner: str, customer: str) -> Spent | None:
+        """Asks the owner on behalf of a VM that cannot reach it.
 
-        The failure: one link is cut and its ends go on working. This VM would
-        give out the whole rate beside the owner for as long as that lasts.
+        If only the link between these two is cut, this VM would otherwise
+        give out the whole rate beside the owner until the link is back.
         """
         answer = self._peers.call(
-            owner, Spend(customer, is_passed_on=True), _PASS_ON_TIMEOUT_S
+            owner, Spend(customer, is_forwarded=True), _FORWARD_TIMEOUT_S
         )
         if answer.is_err():
             self._members.suspect(owner)
@@ -222,21 +230,21 @@
             )
         if denied is None:
             return Spent(True, 0.0)
-        self._refused += 1
+        self._refused_count += 1
         return Spent(False, denied.retry_after_s)
 
     def _bucket(self, customer: str) -> tokens.OwnedBucket:
-        bucket = self._owned.get(customer)
+        bucket = self._owned_buckets.get(customer)
         if bucket is not None:
             return bucket
-        if len(self._owned) >= _MAX_BUCKETS:
-            self._owned.clear()
+        if len(self._owned_buckets) >= _MAX_BUCKETS:
+            self._owned_buckets.clear()
             _events.warning("buckets_cleared", most=_MAX_BUCKETS)
-        bucket = self._owned[customer] = tokens.OwnedBucket(
-            self._opening, self._window_s
+        bucket = self._owned_buckets[customer] = tokens.OwnedBucket(
+            self._opening_tokens, self._window_s
         )
         return bucket
 
 
-def _key(customer: str) -> str:
+def _bucket_key(customer: str) -> str:
     return f"rate {customer}"
