--- a/packages/gateway/gateway/placement.py
+++ b/packages/gateway/gateway/placement.py
@@ -310,7 +310,7 @@
     def _silent_upstreams(self) -> frozenset[str]:
         """Returns the upstreams that owe an answer and send nothing.
 
-        An upstream that is unreachable still accepts requests on open
+        Requests can still be sent to an unreachable upstream on open
         connections, and each waits until its timeout. Skipping the upstream
         once the first requests wait keeps further ones away.
         """
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a scraper reads, and what the log does under load."""
+"""Tests of the scraped metrics and of the log under load."""
 
 import json
 import logging
@@ -34,7 +34,7 @@
     assert 'bulrushdeal_store_calls_total{call="any"' in text
 
 
-def test_slots_refusals_by_rate_and_lost_lines_are_told(
+def test_slots_rate_refusals_and_lost_log_lines_are_exported(
     scene: gatewayscene.Scene,
 ) -> None:
     row = {"name": "school", "api_keys": [gatewayscene.KEY]}
@@ -66,10 +66,11 @@
     found.setLevel(before[2])
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up(logger: Any) -> None:
-    """The pipe behind standard output is full: its reader hangs.
+def test_a_log_without_a_reader_does_not_block(logger: Any) -> None:
+    """The reader of standard output hangs, and the pipe fills up.
 
-    Requests must go on; what finds no room is counted and told later.
+    Logging must not block requests; dropped lines are counted and the count
+    is logged later.
     """
     del logger
     reading, writing = os.pipe()
@@ -95,19 +96,19 @@
         stream.close()
 
 
-def test_good_ends_are_sampled_and_refusals_are_not(logger: Any) -> None:
-    records: list[Any] = []
+def test_successes_are_sampled_and_refusals_are_not(logger: Any) -> None:
+    emitted: list[Any] = []
 
-    class Keep(logging.Handler):
+    class Recorder(logging.Handler):
         def emit(self, record: logging.LogRecord) -> None:
-            records.append(record)
+            emitted.append(record)
 
-    logger.handlers = [Keep()]
+    logger.handlers = [Recorder()]
     logger.setLevel(logging.INFO)
     events = eventlog.Events("part")
     for _ in range(200):
         events.good_end("answered")
         events.warning("refused")
-    kinds = [record.msg for record in records]
+    kinds = [record.msg for record in emitted]
     assert kinds.count("refused") == 200
     assert kinds.count("answered") < 60
--- a/tests/gateway/test_vms.py
+++ b/tests/gateway/test_vms.py
@@ -1,4 +1,4 @@
-"""Several VMs: what goes between them beside the store."""
+"""Tests of several VMs and of the calls between them."""
 
 import json
 import time
@@ -22,23 +22,23 @@
 from support import gatewaystore
 
 
-def _know_each_other(*vms: gatewayscene.Vm) -> None:
+def _wait_until_listed(*vms: gatewayscene.Vm) -> None:
     for vm in vms:
         found = vm.kernel.find("membership", members.Members)
         gatewayscene.until(lambda found=found: found.count() == len(vms))
 
 
-def test_a_vm_that_the_store_turns_away_learns_of_a_withdrawn_key(
+def test_a_vm_refused_by_the_store_learns_of_a_withdrawn_key(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The store refuses one VM and serves the others; a key is withdrawn.
+    """A key is withdrawn while the store refuses one VM.
 
-    The VM goes on serving by what it knows, and the key would work there
-    for as long as the store is away, if the other VM did not tell.
+    The VM serves by its last configuration. Unless another VM sends it the
+    new one, the key works there until the store answers again.
     """
     scene.add_engine()
     vms = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     vms[0].client.is_down = True
     scene.configure(
         gatewayscene.configuration(
@@ -69,7 +69,7 @@
         )
     )
     vms = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     customer = records.Customer("school", (), 0, 0.001, 6)
     allowed = 0
     for number in range(20):
@@ -82,16 +82,16 @@
 def test_a_customer_has_one_rate_though_a_vm_misses_its_owner(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The link from one VM to a customer's owner is cut, no other one.
+    """Only the link from one VM to a customer's owner is cut.
 
-    That VM asks another, which would give out the whole rate beside the
-    owner, to which all other VMs still go.
+    The VM asks another one, which must forward the request: otherwise it
+    gives out the whole rate beside the owner, which the other VMs still use.
     """
     row = {"name": "school", "api_keys": [gatewayscene.KEY]}
     limits = {"rate_per_s": 0.001, "burst": 6}
     scene.configure(gatewayscene.configuration(2, tenants=[row | limits]))
     vms = [scene.add_vm(f"vm{number}", f"d{number}") for number in range(3)]
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     by_name = {f"vm{number}": vm for number, vm in enumerate(vms)}
     found = vms[0].kernel.find("membership", members.Members)
     owner, asker, _ = found.leaders("rate school")
@@ -117,13 +117,13 @@
 def test_a_vm_cut_off_from_its_peers_gives_out_only_its_share(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A customer's owner cannot be reached, and the customer sends much.
+    """A customer sends many requests while its owner is unreachable.
 
-    Each VM on its own would give out the whole rate; all together would be a
-    multiple of what the row allows.
+    If each VM on its own gave out the whole rate, all together would allow a
+    multiple of the customer's limit.
     """
     vms = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     found = vms[0].kernel.find("membership", members.Members)
     name = next(
         f"c{number}"
@@ -137,19 +137,19 @@
     assert allowed <= 10
 
 
-def test_a_cut_is_known_by_the_calls_that_fail(
+def test_a_cut_is_detected_by_failed_calls_and_pings(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A failure domain is cut off; a call into it fails, then one ping.
+    """A failure domain is cut off: calls to one VM fail, then a ping fails.
 
-    Until it is known what is sent there is lost. One VM that has stopped,
-    however many calls to it fail, is no cut.
+    Requests into the domain are lost until the cut is detected. Failed calls
+    to a single stopped VM, however many, must not count as a cut.
     """
     vms = [scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")]
     vms.append(scene.add_vm("vm3", "d2"))
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     found = vms[0].kernel.find("membership", members.Members)
-    # No ping of its own tells that the domain is there.
+    # Disabled: the VM's own pings would show that the domain is reachable.
     own = vms[0].kernel.find(names.PINGS, pings.Pings)
     monkeypatch.setattr(own, "_ping", lambda domain, vm: None)
     for _ in range(3):
@@ -164,18 +164,18 @@
 def test_a_vm_that_answers_stays_though_the_store_lost_its_entry(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Leases ran out in an outage, and a VM cannot register again at once.
+    """Leases expire in an outage, and a VM cannot register again at once.
 
-    Each VM would take itself for the only one, lead everything and give out
-    the whole rate of each customer.
+    If VMs dropped each other from their lists, each would act as the only
+    one, lead all services and give out each customer's whole rate.
     """
     vms = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     found, other = (vm.kernel.find("membership", members.Members) for vm in vms)
     monkeypatch.setattr(other, "_keep_entry", lambda: True)
     scene.store.write("bulrushdeal/members/vm2", None)
     before = len(vms[0].client.calls)
-    # Each renewal is followed by a reading of the list.
+    # The VM reads the list after each renewal.
     gatewayscene.until(lambda: vms[0].client.calls[before:].count("renew") >= 4)
     assert found.count() == 2
     vms[1].kernel.find("peers", peers.WebsocketPeers).stop(0.1)
@@ -185,10 +185,10 @@
 def test_many_vms_are_led_by_some_of_them(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A hundred VMs each ask every one of the others for something.
+    """With a hundred VMs, only some lead, so not all VMs call each other.
 
-    Each pair takes a thread at both ends, ten thousand on one machine that
-    plays them all.
+    Each pair of VMs that call each other needs a thread at both ends: ten
+    thousand threads on one machine that simulates all VMs.
     """
     vm = scene.add_vm("vm1", "d1")
     for number in range(2, 101):
@@ -199,7 +199,7 @@
     gatewayscene.until(lambda: found.count() == 100)
     leaders = {found.first(f"rate {number}") for number in range(1000)}
     assert 16 <= len(leaders) <= 20
-    # When none of them is reached, any VM may lead, this one too.
+    # If none of them is reachable, any VM may lead, including this one.
     for name in leaders:
         found.suspect(name)
     assert found.leaders("rate 1")
@@ -208,10 +208,11 @@
 def test_a_domain_without_vms_is_not_lost_for_ever(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The only VM of a failure domain is taken away while it is pinged.
+    """The only VM of a failure domain is removed while it is pinged.
 
-    Pings to it fail, and none is sent once the VM is no longer listed: the
-    domain would count as cut off for ever, and its upstreams get nothing.
+    Pings to it fail, and none is sent once the VM is no longer listed. Unless
+    the state expires, the domain counts as cut off forever and its upstreams
+    get no requests.
     """
     vm = scene.add_vm("vm1", "d1")
     found = vm.kernel.find("membership", members.Members)
@@ -226,20 +227,21 @@
 def test_a_vm_that_is_cut_off_from_a_service_sends_callers_elsewhere(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A failure domain without an engine of its own is cut off.
+    """A failure domain without an engine is cut off.
 
-    Callers still reach its VM, which refuses each of them for as long as the
-    cut lasts, although VMs of other domains would serve them.
+    Callers still reach its VM. Unless that VM becomes unready, it refuses
+    them until the cut ends although VMs of other domains can serve them.
     """
     engine = scene.add_engine()
     vms = [scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")]
     vms.append(scene.add_vm("vm3", "d1"))
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     cut = vms[1]
     for vm in (vms[0], vms[2]):
         vm.kernel.find("peers", peers.WebsocketPeers).stop(0.1)
     gatewayscene.until(lambda: not cut.front().is_ready())
-    # The engine is beyond the cut; one request now and then finds that out.
+    # The engine is on the other side of the cut; a trial request now and then
+    # is still let through.
     scene.list_engine(engine, domain="d1")
     found = cut.kernel.find(names.PLACEMENT, placement.Placement)
     while found.take("llm", 0.3, ()).is_ok():
@@ -248,7 +250,7 @@
     assert refused.retry_after_s >= 2.0
     answer = cut.call("POST", "/nowhere/x", b"p")
     assert answer.headers["connection"] == "close"
-    # With an engine on its own side it serves what it can.
+    # With an engine on its own side the VM is ready again.
     near = gatewayengine.Engine("i-near", 5)
     scene.engines.append(near)
     scene.list_engine(near, domain="d2")
@@ -258,13 +260,14 @@
 def test_batch_of_one_vm_yields_to_a_request_at_another(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Batch items of one VM fill the only engine; a request comes to another.
+    """Batch items of one VM fill the only engine; another VM gets a request.
 
-    The other VM knows nothing of them; the service's leader does.
+    The other VM cannot see these items. The service's leader must preempt one
+    of them.
     """
     scene.add_engine(events=400).pause_s = 0.02
     vms = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d1")
-    _know_each_other(*vms)
+    _wait_until_listed(*vms)
     first = vms[0].kernel.find(names.PLACEMENT, placement.Placement)
     second = vms[1].kernel.find(names.PLACEMENT, placement.Placement)
     batch = first.take_batch("llm", [batchorder.Standing()] * 8)
@@ -286,9 +289,9 @@
 
 
 def test_a_key_goes_with_its_last_lease() -> None:
-    """A VM is killed, starts again and registers under a new lease.
+    """A VM is killed, restarts and registers under a new lease.
 
-    Its old lease runs out later and must not take the new entry along.
+    When its old lease expires later, the new entry must not be deleted.
     """
     store = gatewaystore.MemoryStore()
     store.leases = {1: set(), 2: set()}
@@ -300,13 +303,13 @@
     assert "members/vm1" not in store.rows
 
 
-def test_a_vm_that_knows_no_others_owns_no_customer(
+def test_a_vm_without_a_vm_list_owns_no_customer(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A VM starts while the store loses answers, and callers reach it.
+    """A VM starts and serves callers while the store loses answers.
 
-    Until it has read who else is there it would take itself for the owner of
-    each customer, and give out whole rates beside the owners.
+    Until it has read the list of VMs, it must not act as the owner of each
+    customer and give out whole rates beside the real owners.
     """
     vm = scene.add_vm()
     found = vm.kernel.find("membership", members.Members)
@@ -319,9 +322,9 @@
 def test_a_vm_is_ready_only_with_a_configuration(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A VM starts while the store is away.
+    """A VM starts while the store is down.
 
-    It knows no route; a 404 or 401 of its own would be false.
+    It has no routes and keys yet, so answering 404 or 401 would be wrong.
     """
     vm = gatewayscene.Vm("vm1", "d1", scene.store)
     vm.client.is_down = True
