--- a/packages/gateway/gateway/jobbook.py
+++ b/packages/gateway/gateway/jobbook.py
@@ -1,4 +1,4 @@
-"""Batch jobs as they lie in the platform's store, and what was read of them."""
+"""Reads and writes batch jobs in the platform's store, with a cache."""
 
 import collections
 import threading
@@ -17,21 +17,21 @@
 
 _events = eventlog.Events("jobs")
 
-_READ_S = 1.0
-# Tries of a write that the store may have done without saying so; each is
-# conditional, so that a late one finds the key there and does nothing. The
-# first is short: a store that is well answers in a few milliseconds, and with
-# a connection that is dead the next try still accepts a job on time.
-_WRITES_S = (0.35, 1.2, 1.2)
+_READ_TIMEOUT_S = 1.0
+# Timeouts of the tries of a commit whose answer may be lost. Each try is
+# conditional, so one that takes effect late finds the key changed and does
+# nothing. The first is short: a healthy store answers in a few milliseconds,
+# and after a dead connection the next try still accepts a job in time.
+_COMMIT_TIMEOUTS_S = (0.35, 1.2, 1.2)
 _MAX_CACHED_JOBS = 64
 
 
 class View:
-    """What this VM has read of a job's results, which never change.
+    """A job's metadata and the results that this VM has read; neither changes.
 
     Attributes:
-        meta: What is known of the job.
-        results: From the first position on, without a gap.
+        meta: The job's metadata.
+        results: The results from the first position on, without gaps.
     """
 
     def __init__(self, meta: jobrecords.JobMeta) -> None:
@@ -39,12 +39,12 @@
         self.results: list[dialect_lib.ItemResult] = []
 
     def is_whole(self) -> bool:
-        """Tells whether every item has its result here."""
+        """Returns whether it has the results of all items."""
         return len(self.results) >= len(self.meta.items)
 
 
 class JobBook:
-    """Reads and changes jobs in the store; remembers what cannot change."""
+    """Reads and changes jobs in the store; caches what never changes."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
@@ -54,7 +54,7 @@
         )
 
     def start(self) -> None:
-        """Finds the services that it needs."""
+        """Looks up the services that it depends on."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
         dialect = find(names.DIALECT, dialect_lib.Dialect)
@@ -65,13 +65,13 @@
         del grace_s
 
     def dump(self) -> Any:
-        """Returns how many jobs are remembered."""
+        """Returns how many jobs are cached."""
         return {"remembered": len(self._views)}
 
     def meta(
         self, job: str
     ) -> result.Result[jobrecords.JobMeta, jobmessages.JobError]:
-        """Returns what is known of a job."""
+        """Returns a job's metadata, from the cache or the store."""
         view = self.view(job)
         if isinstance(view, result.Err):
             return view
@@ -82,26 +82,26 @@
     ) -> result.Result[
         tuple[dialect_lib.ItemResult, ...], jobmessages.JobError
     ]:
-        """Returns all results that the store has now."""
+        """Returns all results, including those now in the store."""
         view = self.view(job)
         if isinstance(view, result.Err):
             return view
-        read = self.extend(view.ok_value, len(view.ok_value.results))
+        read = self.read_new_results(view.ok_value, len(view.ok_value.results))
         if isinstance(read, result.Err):
             return read
         return result.Ok(tuple(view.ok_value.results))
 
     def cached(self, job: str) -> View | None:
-        """Returns what is remembered of a job, without a call."""
+        """Returns a job's cached view without a call to the store."""
         return self._views.get(job)
 
-    def learn_rows(
+    def add_peer_results(
         self,
         view: View,
         position: int,
         rows: tuple[dialect_lib.ItemResult, ...],
     ) -> None:
-        """Remembers results that another VM told, if they come next."""
+        """Caches results from another VM if they start at the next position."""
         with self._lock:
             if len(view.results) == position:
                 view.results.extend(rows)
@@ -109,7 +109,7 @@
     def listed(
         self, job: str, position: int, row: dialect_lib.ItemResult
     ) -> None:
-        """Remembers a result that this VM has written."""
+        """Caches a result that this VM has written."""
         with self._lock:
             view = self._views.get(job)
             if view is not None and len(view.results) == position:
@@ -118,11 +118,11 @@
     def read_items(
         self, meta: jobrecords.JobMeta
     ) -> result.Result[tuple[dialect_lib.JobItem, ...], jobmessages.JobError]:
-        """Returns a job's input."""
+        """Returns a job's items, read from the store."""
         items: list[dialect_lib.JobItem] = []
         for number in range(meta.parts):
             key = self.keys.part(meta.job, number)
-            got = self._store.get(key, _READ_S)
+            got = self._store.get(key, _READ_TIMEOUT_S)
             if got.is_err():
                 return unavailable(got.unwrap_err())
             entry = got.unwrap()
@@ -137,19 +137,22 @@
         writes: tuple[dialect_lib.Write, ...],
         deletes: tuple[str, ...],
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
-        """Makes a change whose repetition does no harm, a few times.
+        """Commits a change, with a few retries; it must be safe to repeat.
 
-        A change that may have been made is made again: its conditions no
-        longer hold then, and the conflict tells. `unknown` is the error if
-        any try may still take effect.
+        A change that may have taken effect is tried again. If it did, a
+        change with conditions meets a conflict, because they no longer hold.
+
+        Returns:
+            The store's new revision, or the conflict. The error is `unknown`
+            if any try may still take effect, else `unavailable`.
         """
         is_unknown = False
         message = ""
-        for timeout_s in _WRITES_S:
-            made = self._store.commit(expected, writes, deletes, timeout_s)
-            if made.is_ok():
-                return result.Ok(made.unwrap())
-            error = made.unwrap_err()
+        for timeout_s in _COMMIT_TIMEOUTS_S:
+            committed = self._store.commit(expected, writes, deletes, timeout_s)
+            if committed.is_ok():
+                return result.Ok(committed.unwrap())
+            error = committed.unwrap_err()
             message = error.message
             if error.kind == "no_lease":
                 break
@@ -158,13 +161,13 @@
         return result.Err(jobmessages.JobError(kind, message))
 
     def view(self, job: str) -> result.Result[View, jobmessages.JobError]:
-        """Returns what is known of a job, read once."""
+        """Returns a job's view; reads the metadata unless it is cached."""
         with self._lock:
             view = self._views.get(job)
             if view is not None:
                 self._views.move_to_end(job)
                 return result.Ok(view)
-        got = self._store.get(self.keys.meta(job), _READ_S)
+        got = self._store.get(self.keys.meta(job), _READ_TIMEOUT_S)
         if got.is_err():
             return unavailable(got.unwrap_err())
         entry = got.unwrap()
@@ -175,31 +178,39 @@
         except codec.CodecError as error:
             _events.warning("bad_record", job=job, why=str(error))
             return result.Err(jobmessages.JobError("unavailable", str(error)))
-        return result.Ok(self.remember(meta))
+        return result.Ok(self.cache(meta))
 
-    def remember(self, meta: jobrecords.JobMeta) -> View:
-        """Remembers a job and returns what is known of it."""
+    def cache(self, meta: jobrecords.JobMeta) -> View:
+        """Adds a job to the cache and returns its view."""
         with self._lock:
             view = self._views.setdefault(meta.job, View(meta))
             while len(self._views) > _MAX_CACHED_JOBS:
                 self._views.popitem(last=False)
             return view
 
-    def extend(
+    def read_new_results(
         self, view: View, known: int
     ) -> result.Result[int, jobmessages.JobError]:
-        """Reads what follows the results known; returns the revision."""
+        """Reads the results after the first `known` from the store.
+
+        Returns:
+            The revision of the store that the results were read at.
+        """
         job = view.meta.job
         after = self.keys.result(job, known - 1) if known else ""
         prefix = self.keys.results(job)
-        listed = paging.read_all(self._store, prefix, _READ_S, after=after)
+        listed = paging.read_all(
+            self._store, prefix, _READ_TIMEOUT_S, after=after
+        )
         if listed.is_err():
             return unavailable(listed.unwrap_err())
-        self.learn(view, listed.unwrap().entries)
+        self.add_entries(view, listed.unwrap().entries)
         return result.Ok(listed.unwrap().revision)
 
-    def learn(self, view: View, entries: tuple[dialect_lib.Entry, ...]) -> None:
-        """Remembers results that the store told."""
+    def add_entries(
+        self, view: View, entries: tuple[dialect_lib.Entry, ...]
+    ) -> None:
+        """Caches the results in a listing of the store."""
         prefix = self.keys.results(view.meta.job)
         rows = sorted(
             (int(entry.key.removeprefix(prefix)), entry.value)
@@ -217,5 +228,5 @@
 def unavailable(
     error: dialect_lib.StoreError,
 ) -> result.Err[jobmessages.JobError]:
-    """Returns the store's failure as one of a call about a job."""
+    """Converts a failure of the store to a `JobError`."""
     return result.Err(jobmessages.JobError("unavailable", error.message))
--- a/packages/gateway/gateway/jobpeers.py
+++ b/packages/gateway/gateway/jobpeers.py
@@ -1,4 +1,4 @@
-"""What the VMs that run batch jobs tell the others, instead of the store."""
+"""Reads batch jobs from the VMs that run them instead of the store."""
 
 from collections.abc import Iterator
 import time
@@ -12,14 +12,14 @@
 from gateway import members
 from gateway import names
 
-_TELL_S = 0.3
+_CALL_TIMEOUT_S = 0.3
 _MAX_PAGE_BYTES = 900_000
-# How often a waiting read asks the VM that runs the job.
-_ASK_S = 0.4
+# How often a waiting read polls the VM that runs the job.
+_POLL_INTERVAL_S = 0.4
 
 
 class JobPeers:
-    """Asks the VMs that run jobs, and answers for those that run here."""
+    """Queries the VMs that run jobs, and answers for the jobs run here."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         find = kernel.find
@@ -30,30 +30,30 @@
         self._runner: jobmessages.JobRunner | None = None
         self._peers = find(services.PEERS, services.Peers)
         self._peers.handle(
-            jobmessages.ReadJob, services.QuickHandler(self._on_read)
+            jobmessages.ReadJob, services.QuickHandler(self._on_read_job)
         )
         self._peers.handle(
             jobmessages.ReadInput, services.QuickHandler(self._on_read_input)
         )
         self._peers.understand(jobmessages.JobRead, jobmessages.InputRead)
 
-    def run_with(self, runner: jobmessages.JobRunner) -> None:
-        """Answers for the jobs of this VM's runner."""
+    def set_runner(self, runner: jobmessages.JobRunner) -> None:
+        """Sets the runner whose jobs this VM answers for."""
         self._runner = runner
 
-    def learn(self, job: str) -> None:
-        """Has the VM that runs a job tell of it, if that is known here."""
-        for vm in self._tellers(job):
+    def fetch_job(self, job: str) -> None:
+        """Caches a job and its results, asked from the VM that runs it."""
+        for vm in self._candidate_vms(job):
             if vm == self._vm:
                 continue
-            read = self._read_from(vm, job, 0)
+            read = self._read_from_vm(vm, job, 0)
             if read is not None and read.meta is not None:
-                view = self._book.remember(read.meta)
-                self._book.learn_rows(view, 0, read.rows)
+                view = self._book.cache(read.meta)
+                self._book.add_peer_results(view, 0, read.rows)
                 return
 
-    def _tellers(self, job: str) -> Iterator[str]:
-        """Yields the VMs that may run a job, or have run it to its end."""
+    def _candidate_vms(self, job: str) -> Iterator[str]:
+        """Yields the VMs that may run a job, or may have run it last."""
         if self._runner is None:
             return
         holder = self._runner.holder(job)
@@ -63,21 +63,34 @@
         if found and found != holder:
             yield found
 
-    def _read_from(
+    def _read_from_vm(
         self, vm: str, job: str, after: int
     ) -> jobmessages.JobRead | None:
-        """Asks a VM for a job's results; `None` if it cannot be sure."""
-        answer = self._peers.call(vm, jobmessages.ReadJob(job, after), _TELL_S)
+        """Asks a VM for a job's results; `None` if it may not be up to date."""
+        answer = self._peers.call(
+            vm, jobmessages.ReadJob(job, after), _CALL_TIMEOUT_S
+        )
         if answer.is_err():
             return None
         read: jobmessages.JobRead = answer.unwrap()
         return read if read.is_held else None
 
-    def extend(self, view: jobbook.View, after: int, wait_s: float) -> bool:
-        """Asks the VM that runs the job; false if none says it does.
+    def fetch_results(
+        self, view: jobbook.View, after: int, wait_s: float
+    ) -> bool:
+        """Caches new results from the VM that runs the job, and may wait.
+
+        This spares the store: each read costs it, and most reads find no new
+        results.
+
+        Args:
+            view: The job's cached view, which is extended.
+            after: The position whose result ends the wait.
+            wait_s: How long to wait for that result, in seconds.
 
-        Each read at the store has its price there, and most reads find
-        nothing new.
+        Returns:
+            Whether a VM with up-to-date results answered; if not, the store
+            has to be read.
         """
         end_s = time.monotonic() + wait_s
         while True:
@@ -85,23 +98,23 @@
             read = self._read_from_any(view.meta.job, known)
             if read is None:
                 return False
-            self._book.learn_rows(view, known, read.rows)
+            self._book.add_peer_results(view, known, read.rows)
             left_s = end_s - time.monotonic()
             if len(view.results) > after or left_s <= 0 or view.is_whole():
                 return True
             if not read.rows:
-                time.sleep(min(_ASK_S, left_s))
+                time.sleep(min(_POLL_INTERVAL_S, left_s))
 
     def _read_from_any(
         self, job: str, after: int
     ) -> jobmessages.JobRead | None:
-        for vm in self._tellers(job):
-            read = self._read_from(vm, job, after)
+        for vm in self._candidate_vms(job):
+            read = self._read_from_vm(vm, job, after)
             if read is not None:
                 return read
         return None
 
-    def _on_read(
+    def _on_read_job(
         self, vm: str, message: jobmessages.ReadJob
     ) -> jobmessages.JobRead:
         del vm
@@ -109,9 +122,10 @@
         view = self._book.cached(message.job)
         if runner is None or view is None:
             return jobmessages.JobRead(False, (), None)
-        # All results are written under the claim, and that goes with the
-        # lease: while both last, nobody else can have listed any. What is
-        # remembered may have been forgotten and read again in part.
+        # All results are written under the claim, which is removed with the
+        # lease: while this VM holds both, no other VM can have written any.
+        # The cached results may still be incomplete, if the job was evicted
+        # from the cache and read again in part.
         is_latest = (
             runner.listed(message.job) == len(view.results)
             and self._members.has_valid_lease()
@@ -119,13 +133,15 @@
         if not is_latest and not view.is_whole():
             return jobmessages.JobRead(False, (), None)
         meta = None if message.after else view.meta
-        return jobmessages.JobRead(True, bounded(view, message.after), meta)
+        return jobmessages.JobRead(
+            True, results_page(view, message.after), meta
+        )
 
     def input(self, job: str, item: str) -> bytes | None:
         """Asks the VM that runs a job for an item's body."""
-        for vm in self._tellers(job):
+        for vm in self._candidate_vms(job):
             answer = self._peers.call(
-                vm, jobmessages.ReadInput(job, item), _TELL_S
+                vm, jobmessages.ReadInput(job, item), _CALL_TIMEOUT_S
             )
             if answer.is_ok() and answer.unwrap().body is not None:
                 body: bytes = answer.unwrap().body
@@ -142,10 +158,13 @@
         return jobmessages.InputRead(body)
 
 
-def bounded(
+def results_page(
     view: jobbook.View, after: int
 ) -> tuple[dialect_lib.ItemResult, ...]:
-    """Returns the results from a position on that fit one answer."""
+    """Returns the results from a position on that fit one answer.
+
+    Returns at least one result if there is any, however large.
+    """
     rows: list[dialect_lib.ItemResult] = []
     size_bytes = 0
     for row in view.results[after:]:
--- a/packages/gateway/gateway/jobs.py
+++ b/packages/gateway/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs as callers see them: submit, read results and input, end."""
+"""Submits, reads and ends batch jobs for callers."""
 
 import time
 from typing import Any
@@ -23,11 +23,12 @@
 
 _events = eventlog.Events("jobs")
 
-_READ_S = 1.0
-_TELL_S = 0.3
-# What is left for the key, JSON and base64 around a value.
+_READ_TIMEOUT_S = 1.0
+_CALL_TIMEOUT_S = 0.3
+# The rest of the store's limit is left for the key, JSON and base64 around a
+# value.
 VALUE_SHARE = 0.6
-_MAX_PARTS = 24
+_MAX_INPUT_PARTS = 24
 
 
 class Jobs:
@@ -41,7 +42,7 @@
         self._value_bytes = int(settings.value_bytes * VALUE_SHARE)
 
     def start(self) -> None:
-        """Finds the services that it needs."""
+        """Looks up the services that it depends on."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
         self._book = find(names.JOB_BOOK, jobbook.JobBook)
@@ -59,13 +60,13 @@
         del grace_s
 
     def dump(self) -> Any:
-        """Returns nothing of interest; see `jobbook`."""
+        """Returns an empty dump; `JobBook` dumps the cached jobs."""
         return {}
 
     def run_with(self, runner: jobmessages.JobRunner) -> None:
-        """Hands jobs that this VM accepts to a runner."""
+        """Sets the runner of the jobs that this VM accepts."""
         self._runner = runner
-        self._job_peers.run_with(runner)
+        self._job_peers.set_runner(runner)
 
     def submit(
         self,
@@ -75,19 +76,19 @@
         path: str,
         submission: dialect_lib.Submission,
     ) -> result.Result[bool, jobmessages.JobError]:
-        """Accepts a job, once however often it is submitted.
+        """Accepts a job; a resubmission of the same job has no effect.
 
         Returns:
-            Whether it is new.
+            Whether the job is new.
         """
-        known = self._book.cached(job)
-        if known is not None:
-            return self._repeated(known.meta, customer)
+        cached = self._book.cached(job)
+        if cached is not None:
+            return self._resubmitted(cached.meta, customer)
         try:
             parts = jobrecords.pack_items(submission.items, self._value_bytes)
         except dialect_lib.BadInputError as error:
             return result.Err(jobmessages.JobError("too_large", str(error)))
-        if len(parts) > _MAX_PARTS:
+        if len(parts) > _MAX_INPUT_PARTS:
             return result.Err(
                 jobmessages.JobError("too_large", "the job is too large")
             )
@@ -108,22 +109,23 @@
             meta, submission.items, parts, route.max_waiting_tokens
         )
         if isinstance(accepted, result.Err):
-            return self._refused(meta, accepted.err_value)
+            return self._refuse_unless_accepted(meta, accepted.err_value)
         return accepted
 
-    def _refused(
+    def _refuse_unless_accepted(
         self, meta: jobrecords.JobMeta, error: jobmessages.JobError
     ) -> result.Result[bool, jobmessages.JobError]:
-        """Refuses a job, unless it fills the backlog itself.
+        """Returns the error, unless the job has already been accepted.
 
-        The failure: a job is accepted and its answer lost. The caller sends
-        it again and is told that no part of it runs.
+        An accepted job counts towards the backlog. If its answer was lost and
+        the caller submits it again, the job may find no room because of
+        itself, and a refusal would say that no item of it runs.
         """
         if error.kind != "no_room":
             return result.Err(error)
         view = self._book.view(meta.job)
         if isinstance(view, result.Ok):
-            return self._repeated(view.ok_value.meta, meta.customer)
+            return self._resubmitted(view.ok_value.meta, meta.customer)
         if view.err_value.kind != "missing":
             return view
         return result.Err(error)
@@ -136,42 +138,44 @@
         max_waiting_tokens: int,
     ) -> result.Result[bool, jobmessages.JobError]:
         runner = self._runner
-        lease = self._claiming_lease()
+        lease = self._lease_for_claim()
         demand = backlog.Demand(
             sum(item.tokens for item in items), max_waiting_tokens
         )
         change = backlogs.Change(
             meta,
             dialect_lib.Expected(self._book.keys.meta(meta.job), 0),
-            self._writes(meta, parts, demand.tokens, lease),
+            self._acceptance_writes(meta, parts, demand.tokens, lease),
         )
-        made = self._backlogs.accept(change, demand)
-        if isinstance(made, result.Err):
-            return made
-        if isinstance(made.ok_value, dialect_lib.Conflict):
-            # A try whose answer was lost, or another VM's; read which.
-            return self._settle(meta, items)
-        self._note_accepted(meta, lease)
-        self._book.remember(meta)
+        committed = self._backlogs.accept(change, demand)
+        if isinstance(committed, result.Err):
+            return committed
+        if isinstance(committed.ok_value, dialect_lib.Conflict):
+            # The job exists: either an earlier try was committed and its
+            # answer lost, or another VM accepted the job.
+            return self._resolve_conflict(meta, items)
+        self._log_accepted(meta, lease)
+        self._book.cache(meta)
         if runner is not None and lease:
             runner.adopt(
                 jobmessages.Accepted(
-                    meta, items, jobstate.HeldClaim(made.ok_value, lease)
+                    meta, items, jobstate.HeldClaim(committed.ok_value, lease)
                 )
             )
         return result.Ok(True)
 
-    def _claiming_lease(self) -> int:
-        """Returns the lease to claim a job under; 0 to leave it to others.
+    def _lease_for_claim(self) -> int:
+        """Returns the lease for a new job's claim; 0 to accept it unclaimed.
 
-        The failure: leases ran out while the store was away. A job that comes
-        before this VM has a new one would be refused for the old one's sake.
+        If the store was unavailable for longer than a lease, this VM's lease
+        has expired. A claim under it would make the store reject the whole
+        job until this VM has a new lease.
         """
         if self._runner is None or not self._runner.is_accepting():
             return 0
         return self._members.lease() if self._members.has_valid_lease() else 0
 
-    def _writes(
+    def _acceptance_writes(
         self,
         meta: jobrecords.JobMeta,
         parts: tuple[bytes, ...],
@@ -193,12 +197,14 @@
             rows.append(write(keys.claim(meta.job), claim, lease))
         return tuple(rows)
 
-    def _settle(
+    def _resolve_conflict(
         self,
         meta: jobrecords.JobMeta,
         items: tuple[dialect_lib.JobItem, ...],
     ) -> result.Result[bool, jobmessages.JobError]:
-        claim = self._store.get(self._book.keys.claim(meta.job), _READ_S)
+        claim = self._store.get(
+            self._book.keys.claim(meta.job), _READ_TIMEOUT_S
+        )
         if claim.is_err():
             return result.Err(
                 jobmessages.JobError("unknown", claim.unwrap_err().message)
@@ -209,8 +215,8 @@
             return result.Err(
                 jobmessages.JobError("unknown", view.err_value.message)
             )
-        if view.ok_value.meta == meta and self._is_own(entry):
-            self._note_accepted(meta, 1)
+        if view.ok_value.meta == meta and self._is_claim_of_this_vm(entry):
+            self._log_accepted(meta, 1)
             if self._runner is not None and entry is not None:
                 self._runner.adopt(
                     jobmessages.Accepted(
@@ -218,14 +224,14 @@
                     )
                 )
             return result.Ok(True)
-        return self._repeated(view.ok_value.meta, meta.customer)
+        return self._resubmitted(view.ok_value.meta, meta.customer)
 
-    def _is_own(self, entry: dialect_lib.Entry | None) -> bool:
+    def _is_claim_of_this_vm(self, entry: dialect_lib.Entry | None) -> bool:
         return entry is not None and jobrecords.is_held_by(
             entry.value, self._vm
         )
 
-    def _note_accepted(self, meta: jobrecords.JobMeta, lease: int) -> None:
+    def _log_accepted(self, meta: jobrecords.JobMeta, lease: int) -> None:
         _events.info(
             "accepted",
             job=meta.job,
@@ -234,7 +240,7 @@
             is_claimed=bool(lease),
         )
 
-    def _repeated(
+    def _resubmitted(
         self, meta: jobrecords.JobMeta, customer: str
     ) -> result.Result[bool, jobmessages.JobError]:
         if meta.customer != customer:
@@ -247,40 +253,53 @@
     ) -> result.Result[dialect_lib.JobPage, jobmessages.JobError]:
         """Returns results from a position on, and may wait for the first.
 
-        What was read once never changes and is served from memory; that
-        there is nothing more is said only by the VM that holds the job's
-        claim, or by the store.
+        Results never change, so those read before are served from memory.
+        Only the VM that holds the job's claim, or the store, can say that
+        there are no more.
+
+        Args:
+            job: The job's id.
+            customer: The customer that asks; other customers' jobs are
+                reported as missing.
+            after: The position of the first result to return.
+            wait_s: How long to wait for a result if there is none, in seconds.
         """
-        found = self._own_view(job, customer)
+        found = self._view_for_customer(job, customer)
         if isinstance(found, result.Err):
             return found
         view = found.ok_value
         if view.is_whole():
             return result.Ok(_page(view, after))
-        if len(view.results) <= after and not self._job_peers.extend(
+        if len(view.results) <= after and not self._job_peers.fetch_results(
             view, after, wait_s
         ):
-            read = self._book.extend(view, min(after, len(view.results)))
+            read = self._book.read_new_results(
+                view, min(after, len(view.results))
+            )
             if isinstance(read, result.Err):
                 return read
             if len(view.results) <= after < len(view.meta.items):
-                self._wait(view, read.ok_value, wait_s)
+                self._wait_for_result(view, read.ok_value, wait_s)
         return result.Ok(_page(view, after))
 
-    def _wait(self, view: jobbook.View, revision: int, wait_s: float) -> None:
+    def _wait_for_result(
+        self, view: jobbook.View, revision: int, wait_s: float
+    ) -> None:
         if wait_s <= 0:
             return
         prefix = self._book.keys.results(view.meta.job)
-        changed = self._store.watch(prefix, revision, wait_s, wait_s + _READ_S)
-        # An error only means that the answer has nothing new.
+        changed = self._store.watch(
+            prefix, revision, wait_s, wait_s + _READ_TIMEOUT_S
+        )
+        # After an error the caller gets the results known so far.
         if changed.is_ok():
-            self._book.learn(view, changed.unwrap().entries)
+            self._book.add_entries(view, changed.unwrap().entries)
 
     def input(
         self, job: str, customer: str, item: str
     ) -> result.Result[bytes, jobmessages.JobError]:
-        """Returns the body of an item that has no result yet."""
-        found = self._own_view(job, customer)
+        """Returns the request body of a job's item."""
+        found = self._view_for_customer(job, customer)
         if isinstance(found, result.Err):
             return found
         if item not in found.ok_value.meta.items:
@@ -299,32 +318,37 @@
     def end(
         self, job: str, customer: str
     ) -> result.Result[None, jobmessages.JobError]:
-        """Ends a job; what has no result will not run any more."""
-        found = self._own_view(job, customer)
+        """Ends a job; its items without a result run no more."""
+        found = self._view_for_customer(job, customer)
         if isinstance(found, result.Err):
             return found
         keys = self._book.keys
-        claim = self._store.get(keys.claim(job), _READ_S)
-        made = self._book.commit(
+        claim = self._store.get(keys.claim(job), _READ_TIMEOUT_S)
+        committed = self._book.commit(
             (),
             (dialect_lib.Write(keys.ended(job), b"1"),),
             (keys.open_job(job), keys.claim(job)),
         )
-        if isinstance(made, result.Err):
-            return made
+        if isinstance(committed, result.Err):
+            return committed
         _events.info("ended", job=job, customer=customer)
         if self._runner is not None:
             self._runner.drop(job)
         if claim.is_ok():
-            self._tell_end(job, claim.unwrap())
+            self._notify_holder(job, claim.unwrap())
         return result.Ok(None)
 
-    def _tell_end(self, job: str, entry: dialect_lib.Entry | None) -> None:
-        if entry is None or entry.value is None or self._is_own(entry):
+    def _notify_holder(self, job: str, entry: dialect_lib.Entry | None) -> None:
+        if (
+            entry is None
+            or entry.value is None
+            or self._is_claim_of_this_vm(entry)
+        ):
             return
         vm = jobrecords.unpack(jobrecords.Claim, entry.value).vm
-        # Its own look at the claims finds it out later if this is lost.
-        self._peers.call(vm, jobmessages.EndJob(job), _TELL_S)
+        # If this message is lost, that VM notices with its next scan of the
+        # open jobs.
+        self._peers.call(vm, jobmessages.EndJob(job), _CALL_TIMEOUT_S)
 
     def _on_end_job(
         self, vm: str, message: jobmessages.EndJob
@@ -334,11 +358,11 @@
             self._runner.drop(message.job)
         return jobmessages.Ended()
 
-    def _own_view(
+    def _view_for_customer(
         self, job: str, customer: str
     ) -> result.Result[jobbook.View, jobmessages.JobError]:
         if self._book.cached(job) is None:
-            self._job_peers.learn(job)
+            self._job_peers.fetch_job(job)
         view = self._book.view(job)
         if isinstance(view, result.Err):
             return view
@@ -348,5 +372,5 @@
 
 
 def _page(view: jobbook.View, after: int) -> dialect_lib.JobPage:
-    rows = jobpeers.bounded(view, after)
+    rows = jobpeers.results_page(view, after)
     return dialect_lib.JobPage(len(view.meta.items), after + len(rows), rows)
