--- a/packages/gateway/gateway/jobdirectory.py
+++ b/packages/gateway/gateway/jobdirectory.py
@@ -1,4 +1,4 @@
-"""Which VM can tell of a batch job, kept in memory by one VM for each job."""
+"""Finds the VM that runs a batch job, through one directory VM per job."""
 
 import collections
 import queue
@@ -9,12 +9,12 @@
 from bulrushdeald import services
 from gateway import members
 
-_CALL_S = 0.3
+_CALL_TIMEOUT_S = 0.3
 _MAX_JOBS = 20_000
 
 
 class RunsJob(NamedTuple):
-    """Tells that the sender runs a job from now on."""
+    """Announces that the sender runs a job from now on."""
 
     job: str
 
@@ -30,7 +30,7 @@
 
 
 class JobFound(NamedTuple):
-    """The answer to `FindJob`; the VM is empty if none is known."""
+    """The answer to `FindJob`; `vm` is empty if none is known."""
 
     vm: str
 
@@ -38,66 +38,78 @@
 class JobDirectory:
     """Finds the VM that runs a job, or ran it last, without the store.
 
-    The listing of claims is seconds old and has no job that is done, while
-    its caller reads twice a second, each time at another VM. Each such read
-    would be three calls to the store, the more of them the more VMs there are.
+    For each job one VM, chosen by the job's id, keeps in memory which VM runs
+    it. The listing of claims does not suffice: it is seconds old and lacks
+    finished jobs, while a caller reads its job twice a second, each time at
+    another VM. Each such read would cost three calls to the store, and their
+    number grows with that of the VMs.
     """
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         self._lock = threading.Lock()
-        self._vms: collections.OrderedDict[str, str] = collections.OrderedDict()
-        self._told: queue.SimpleQueue[str | None] = queue.SimpleQueue()
+        # The VM that runs each job, the latest announcement last.
+        self._vm_by_job: collections.OrderedDict[str, str] = (
+            collections.OrderedDict()
+        )
+        self._unannounced: queue.SimpleQueue[str | None] = queue.SimpleQueue()
 
     def start(self) -> None:
-        """Begins to answer other VMs."""
+        """Starts answering other VMs and announcing jobs."""
         find = self._kernel.find
         self._members = find(services.MEMBERSHIP, members.Members)
         self._peers = find(services.PEERS, services.Peers)
-        self._peers.handle(RunsJob, services.QuickHandler(self._on_runs))
-        self._peers.handle(FindJob, services.QuickHandler(self._on_find))
+        self._peers.handle(RunsJob, services.QuickHandler(self._on_runs_job))
+        self._peers.handle(FindJob, services.QuickHandler(self._on_find_job))
         self._peers.understand(JobNoted, JobFound)
         threading.Thread(
-            target=self._tell_all, name="directory", daemon=True
+            target=self._announce_jobs, name="directory", daemon=True
         ).start()
 
     def stop(self, grace_s: float) -> None:
         """Ends the thread."""
         del grace_s
-        self._told.put(None)
+        self._unannounced.put(None)
 
     def dump(self) -> Any:
-        """Returns how many jobs are known here."""
-        return {"known": len(self._vms)}
+        """Returns how many jobs this VM keeps the directory of."""
+        return {"known": len(self._vm_by_job)}
 
     def note(self, job: str) -> None:
-        """Has it known, soon, that this VM runs a job."""
-        self._told.put(job)
+        """Queues the announcement that this VM runs a job."""
+        self._unannounced.put(job)
 
     def find(self, job: str) -> str:
-        """Returns the VM that ran a job last; empty if none is known."""
-        found = self._peers.call(self._keeper(job), FindJob(job), _CALL_S)
+        """Returns the VM that ran a job last.
+
+        Empty if none is known, or if that VM is suspected to have failed.
+        """
+        found = self._peers.call(
+            self._directory_vm(job), FindJob(job), _CALL_TIMEOUT_S
+        )
         if found.is_err():
             return ""
         vm: str = found.unwrap().vm
         return "" if self._members.is_suspected(vm) else vm
 
-    def _keeper(self, job: str) -> str:
+    def _directory_vm(self, job: str) -> str:
         return self._members.leaders(f"job {job}")[0]
 
-    def _tell_all(self) -> None:
-        while (job := self._told.get()) is not None:
-            # One that is lost costs reads at the store, no more.
-            self._peers.call(self._keeper(job), RunsJob(job), _CALL_S)
+    def _announce_jobs(self) -> None:
+        while (job := self._unannounced.get()) is not None:
+            # A lost announcement only costs reads from the store.
+            self._peers.call(
+                self._directory_vm(job), RunsJob(job), _CALL_TIMEOUT_S
+            )
 
-    def _on_runs(self, vm: str, message: RunsJob) -> JobNoted:
+    def _on_runs_job(self, vm: str, message: RunsJob) -> JobNoted:
         with self._lock:
-            self._vms[message.job] = vm
-            self._vms.move_to_end(message.job)
-            while len(self._vms) > _MAX_JOBS:
-                self._vms.popitem(last=False)
+            self._vm_by_job[message.job] = vm
+            self._vm_by_job.move_to_end(message.job)
+            while len(self._vm_by_job) > _MAX_JOBS:
+                self._vm_by_job.popitem(last=False)
         return JobNoted()
 
-    def _on_find(self, vm: str, message: FindJob) -> JobFound:
+    def _on_find_job(self, vm: str, message: FindJob) -> JobFound:
         del vm
-        return JobFound(self._vms.get(message.job, ""))
+        return JobFound(self._vm_by_job.get(message.job, ""))
--- a/packages/gateway/gateway/jobfront.py
+++ b/packages/gateway/gateway/jobfront.py
@@ -1,4 +1,4 @@
-"""Batch jobs over the callers' HTTP."""
+"""Answers callers' HTTP requests about batch jobs."""
 
 import result
 
@@ -17,16 +17,16 @@
 _STATUSES: dict[jobmessages.ErrorKind, int] = {
     "missing": 404,
     "unavailable": 503,
-    # Not 503: that would promise that no item runs.
+    # Not 503, which would promise that no item runs.
     "unknown": 504,
     "too_large": 413,
     "no_room": 429,
 }
-_RETRY_S = 0.4
+_UNAVAILABLE_RETRY_S = 0.4
 
 
 class JobFront:
-    """Turns calls about jobs into answers."""
+    """Handles callers' requests about jobs and builds the responses."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._jobs = kernel.find(names.JOBS, jobs.Jobs)
@@ -40,7 +40,7 @@
         path: str,
         body: bytes,
     ) -> httpd.Response:
-        """Accepts a job."""
+        """Accepts a job and answers 202, or refuses it."""
         if not job or "/" in job:
             return replies.refusal(replies.Refusal(400, "the job has no id"))
         try:
@@ -53,7 +53,7 @@
         return httpd.json_response(202, {"id": job})
 
     def call(self, call: dialect_lib.JobCall, customer: str) -> httpd.Response:
-        """Answers a call about a job."""
+        """Answers a call about a job that was submitted."""
         if call.kind == "end":
             ended = self._jobs.end(call.job, customer)
             if isinstance(ended, result.Err):
@@ -76,5 +76,5 @@
     _events.warning("refused", job=job, status=status, why=error.message)
     retry_s = error.retry_after_s
     if error.kind == "unavailable":
-        retry_s = _RETRY_S
+        retry_s = _UNAVAILABLE_RETRY_S
     return replies.refusal(replies.Refusal(status, error.message, retry_s))
--- a/packages/gateway/gateway/joblisting.py
+++ b/packages/gateway/gateway/joblisting.py
@@ -1,4 +1,4 @@
-"""Which batch jobs are open, and who has claimed them, as last read."""
+"""The latest listing of open batch jobs, their claims and the backlogs."""
 
 from collections.abc import Mapping
 import threading
@@ -12,19 +12,19 @@
 from gateway import names
 from gateway import paging
 
-_READ_S = 1.0
-# What was told is gone by for so long; then the VM reads for itself. A reader
-# reads each second, or tries for another one.
-_MAX_AGE_S = 2.0
+_READ_TIMEOUT_S = 1.0
+# How old a listing from a reader VM may be before this VM reads the store
+# itself. A reader reads each second, or retries for another second.
+_MAX_FOLLOWED_AGE_S = 2.0
 
 
 class ClaimRow(NamedTuple):
     """A job's claim.
 
     Attributes:
-        job: The job.
-        vm: Whose claim it is; empty if that cannot be read.
-        revision: Of the claim in the store.
+        job: The job's id.
+        vm: The VM that holds the claim; empty if the claim cannot be decoded.
+        revision: The revision of the claim's key in the store.
     """
 
     job: str
@@ -36,9 +36,9 @@
     """A customer's backlog on a route.
 
     Attributes:
-        name: Its name in the store.
-        backlog: What is counted there.
-        revision: Of the count in the store.
+        name: The backlog's name in the store.
+        backlog: The count of waiting tokens.
+        revision: The revision of the count's key in the store.
     """
 
     name: str
@@ -50,9 +50,9 @@
     """All jobs that have items to run.
 
     Attributes:
-        opened: Their ids; no open job was missing when they were read.
-        claims: Those of the jobs that are claimed, read after the ids.
-        backlogs: Of all customers, read with the ids.
+        opened: The ids of all jobs that were open when they were read.
+        claims: The claims of jobs, read after the ids.
+        backlogs: The backlogs of all customers, read with the ids.
     """
 
     opened: tuple[str, ...]
@@ -60,11 +60,11 @@
     backlogs: tuple[BacklogRow, ...] = ()
 
     def holders(self) -> dict[str, str]:
-        """Returns by job which VM has claimed it."""
+        """Returns the VM that has claimed each job, by the job's id."""
         return {row.job: row.vm for row in self.claims}
 
     def keyed(self) -> dict[str, str | ClaimRow | BacklogRow]:
-        """Returns all rows, each by a key of its own."""
+        """Returns all rows, each under a unique key."""
         rows: dict[str, str | ClaimRow | BacklogRow] = {}
         rows.update((f"open {job}", job) for job in self.opened)
         rows.update((f"claim {row.job}", row) for row in self.claims)
@@ -72,12 +72,12 @@
         return rows
 
     def held_by(self, vm: str) -> list[ClaimRow]:
-        """Returns a VM's claims."""
+        """Returns the claims that a VM holds."""
         return [row for row in self.claims if row.vm == vm]
 
 
 def job_rows(keyed: Mapping[str, Any]) -> JobRows:
-    """Returns the rows that `JobRows.keyed` has told apart, in order."""
+    """Rebuilds `JobRows` from the result of `JobRows.keyed`, by key order."""
     rows = [keyed[key] for key in sorted(keyed)]
     return JobRows(
         tuple(row for row in rows if isinstance(row, str)),
@@ -87,18 +87,18 @@
 
 
 class JobListing:
-    """Holds the listing; a VM that is told it does not read the store."""
+    """Holds the listing, received from a reader VM or read from the store."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         self._lock = threading.Lock()
         self._rows = JobRows((), ())
-        self._read_s: float | None = None
-        self._is_told = False
-        self._number = 0
+        self._read_at_s: float | None = None
+        self._is_from_reader = False
+        self._version = 0
 
     def start(self) -> None:
-        """Finds the services that it needs."""
+        """Looks up the services that it depends on."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
         self._keys = find(names.JOB_BOOK, jobbook.JobBook).keys
@@ -108,79 +108,81 @@
         del grace_s
 
     def dump(self) -> Any:
-        """Returns how many jobs are open, and how old that is."""
+        """Returns the number of open jobs and the age of the listing."""
         return {
             "open": len(self._rows.opened),
             "age_s": round(self.age_s(), 3),
         }
 
     def age_s(self) -> float:
-        """Returns how long ago the rows were read; -1 if never."""
-        if self._read_s is None:
+        """Returns how long ago the rows were read, in seconds; -1 if never."""
+        if self._read_at_s is None:
             return -1.0
-        return time.monotonic() - self._read_s
+        return time.monotonic() - self._read_at_s
 
     def all(self) -> tuple[JobRows, int]:
-        """Returns the rows, and a number that is another after a change."""
+        """Returns the rows and their version, which each change increments."""
         with self._lock:
-            return self._rows, self._number
+            return self._rows, self._version
 
     def backlog(self, name: str) -> BacklogRow | None:
-        """Returns a backlog as it was when the rows were read."""
+        """Returns a backlog of the listing; `None` if it has none."""
         for row in self._rows.backlogs:
             if row.name == name:
                 return row
         return None
 
     def follow(self, rows: JobRows | None, age_s: float) -> None:
-        """Takes what another VM read `age_s` ago.
+        """Takes over the listing of a reader VM.
 
         Args:
-            rows: `None` if they are those held here.
-            age_s: In seconds.
+            rows: The reader's rows; `None` if they equal those held here.
+            age_s: How long ago the reader read them, in seconds.
         """
-        self._learn(rows, time.monotonic() - age_s)
-        self._is_told = True
+        self._update(rows, time.monotonic() - age_s)
+        self._is_from_reader = True
 
     def is_told(self) -> bool:
-        """Tells whether a reader has told the rows lately."""
-        return self._is_told and self.age_s() <= _MAX_AGE_S
+        """Returns whether the rows come from a reader VM and are recent."""
+        return self._is_from_reader and self.age_s() <= _MAX_FOLLOWED_AGE_S
 
     def latest(self) -> JobRows | None:
-        """Returns the rows, read now unless a reader told them lately.
+        """Returns a reader's recent rows, or else reads them from the store.
 
         Returns:
-            `None` if the store cannot tell either.
+            The rows; `None` if the store cannot be read either.
         """
         if self.is_told():
             return self._rows
         return self.read()
 
     def read(self) -> JobRows | None:
-        """Reads the rows; `None` if the store cannot tell."""
-        started_s = time.monotonic()
-        rows = self._read()
+        """Reads the rows; `None` if the store cannot be read."""
+        started_at_s = time.monotonic()
+        rows = self._read_store()
         if rows is not None:
-            self._learn(rows, started_s)
-            self._is_told = False
+            self._update(rows, started_at_s)
+            self._is_from_reader = False
         return rows
 
-    def _learn(self, rows: JobRows | None, read_s: float) -> None:
+    def _update(self, rows: JobRows | None, read_at_s: float) -> None:
         with self._lock:
-            self._read_s = read_s
+            self._read_at_s = read_at_s
             if rows is None or rows == self._rows:
                 return
             self._rows = rows
-            self._number += 1
+            self._version += 1
 
-    def _read(self) -> JobRows | None:
+    def _read_store(self) -> JobRows | None:
         keys = self._keys
-        # Strictly: by this a VM finds jobs that were ended, within seconds.
-        listed = paging.read_all(self._store, keys.listing, _READ_S)
+        # Not a stale read: from this listing a VM learns within seconds that
+        # a job was ended.
+        listed = paging.read_all(self._store, keys.listing, _READ_TIMEOUT_S)
         if listed.is_err():
             return None
-        # After it, and strictly as well: a job that was opened and claimed in
-        # between would seem to have no claim, and VMs would try to take it.
+        # Read after the open jobs, and not stale either. Otherwise a job that
+        # is opened and claimed between the two reads would seem unclaimed, and
+        # VMs would try to take it over.
         claims = self._read_claims()
         if claims is None:
             return None
@@ -193,7 +195,7 @@
             ),
             claims,
             tuple(
-                _backlog(row, keys.backlogs)
+                _backlog_row(row, keys.backlogs)
                 for row in entries
                 if row.key.startswith(keys.backlogs)
             ),
@@ -201,7 +203,7 @@
 
     def _read_claims(self) -> tuple[ClaimRow, ...] | None:
         prefix = self._keys.claims
-        listed = paging.read_all(self._store, prefix, _READ_S)
+        listed = paging.read_all(self._store, prefix, _READ_TIMEOUT_S)
         if listed.is_err():
             return None
         return tuple(
@@ -214,6 +216,6 @@
         )
 
 
-def _backlog(entry: dialect_lib.Entry, prefix: str) -> BacklogRow:
+def _backlog_row(entry: dialect_lib.Entry, prefix: str) -> BacklogRow:
     name = entry.key.removeprefix(prefix)
     return BacklogRow(name, jobrecords.backlog(entry.value), entry.revision)
--- a/packages/gateway/gateway/jobmessages.py
+++ b/packages/gateway/gateway/jobmessages.py
@@ -1,4 +1,4 @@
-"""What the services of batch jobs, and VMs about them, tell each other."""
+"""Types that the batch job services share, and messages between VMs."""
 
 from typing import Literal, NamedTuple, Protocol
 
@@ -10,15 +10,16 @@
 
 
 class JobError(NamedTuple):
-    """A call about a job that did not succeed.
+    """The failure of a call about a job.
 
     Attributes:
         kind: `missing`: there is no such job or item. `unavailable`:
-            nothing was done, come back. `unknown`: the store may have taken
-            the change. `too_large`: the job fits no store. `no_room`: too
-            much of the customer's waits; nothing was done.
-        message: For the caller and the log.
-        retry_after_s: When to come back, if that is known.
+            nothing was done, and the call can be repeated. `unknown`: the
+            store may have made the change. `too_large`: the job exceeds what
+            can be stored. `no_room`: the customer's backlog is full; nothing
+            was done.
+        message: A description for the caller and the log.
+        retry_after_s: When to try again, in seconds; 0 if unknown.
     """
 
     kind: ErrorKind
@@ -27,7 +28,7 @@
 
 
 class Accepted(NamedTuple):
-    """A job that this VM accepted and runs."""
+    """A job that this VM has accepted and claimed."""
 
     meta: jobrecords.JobMeta
     items: tuple[dialect_lib.JobItem, ...]
@@ -35,7 +36,7 @@
 
 
 class EndJob(NamedTuple):
-    """Tells the VM that runs a job that it was ended."""
+    """Notifies the VM that runs a job that the job was ended."""
 
     job: str
 
@@ -45,19 +46,20 @@
 
 
 class ReadJob(NamedTuple):
-    """Asks the VM that runs a job for its results."""
+    """Asks the VM that runs a job for its results from a position on."""
 
     job: str
     after: int
 
 
 class JobRead(NamedTuple):
-    """Results of a job that a VM runs.
+    """The answer to `ReadJob`.
 
     Attributes:
-        is_held: Whether the VM runs the job; else the store has to be read.
-        rows: The results from the position asked for, some of them.
-        meta: What is known of the job, for one who asks from the start.
+        is_held: Whether the VM's results are up to date, because it holds the
+            job's claim or has all results; if not, the store has to be read.
+        rows: Results from the requested position on, as many as fit a page.
+        meta: The job's metadata if the results from the start were requested.
     """
 
     is_held: bool
@@ -73,7 +75,7 @@
 
 
 class InputRead(NamedTuple):
-    """An item's body; `None` if the VM does not have the item to run."""
+    """The answer to `ReadInput`; `None` if the VM does not run the item."""
 
     body: bytes | None
 
@@ -82,22 +84,22 @@
     """Runs the jobs that this VM has claimed."""
 
     def adopt(self, accepted: Accepted) -> None:
-        """Begins to run a job whose claim this VM holds."""
+        """Starts running a job whose claim this VM holds."""
 
     def drop(self, job: str) -> None:
         """Stops running a job that was ended; idempotent."""
 
     def is_accepting(self) -> bool:
-        """Tells whether this VM may run jobs that it accepts."""
+        """Returns whether this VM may run jobs that it accepts."""
 
     def listed(self, job: str) -> int | None:
-        """Returns how many results a job has that this VM runs.
+        """Returns how many results a job that this VM runs has.
 
-        `None` if this VM may not have the job's claim any more.
+        `None` if this VM may no longer hold the job's claim.
         """
 
     def input(self, job: str, item: str) -> bytes | None:
-        """Returns the body of an item without a result that is run here."""
+        """Returns the body of an item without a result; `None` if not here."""
 
     def holder(self, job: str) -> str:
-        """Returns the VM that had a job's claim lately; empty if unknown."""
+        """Returns the last known holder of a job's claim; empty if unknown."""
--- a/packages/gateway/gateway/jobrecords.py
+++ b/packages/gateway/gateway/jobrecords.py
@@ -1,4 +1,4 @@
-"""How batch jobs lie in the platform's store."""
+"""Records and keys of batch jobs in the platform's store."""
 
 from typing import Any, NamedTuple
 
@@ -9,20 +9,22 @@
 
 
 class JobMeta(NamedTuple):
-    """What is known of a job from its acceptance on, never changed.
+    """A job's metadata, written at acceptance and never changed.
 
     Attributes:
-        job: Its id.
-        customer: Whose it is.
+        job: The job's id.
+        customer: The customer that submitted it.
         host: The host it was submitted to.
         path: The path it was submitted to.
-        accepted_ms: When, in milliseconds of the epoch.
+        accepted_ms: When it was accepted, in milliseconds of the epoch.
         items: The ids of its items in order.
-        parts: How many values hold its input.
+        parts: How many keys of the store hold its input.
         max_attempts: Failed attempts after which an item is given up.
-        retention_s: How long after acceptance an item may be given up.
-        due_s: How long after acceptance all results should be there.
-        backlog: Names the customer's backlog on the job's route.
+        retention_s: How long after acceptance unfinished items are given up,
+            in seconds.
+        due_s: How long after acceptance all results should be available, in
+            seconds; 0 if the job has no due time.
+        backlog: The name of the customer's backlog on the job's route.
     """
 
     job: str
@@ -38,18 +40,18 @@
     backlog: str = ""
 
     def opened(self, tokens: int) -> "OpenJob":
-        """Returns what says that the job has items of so many tokens."""
+        """Returns the record of the open job with the tokens still to run."""
         due_ms = self.accepted_ms + int(self.due_s * 1000)
         return OpenJob(due_ms, self.backlog, tokens)
 
 
 class OpenJob(NamedTuple):
-    """That a job has items to run.
+    """Marks a job that still has items to run.
 
     Attributes:
         due_ms: When it is due, in milliseconds of the epoch.
-        backlog: Names the customer's backlog on the job's route.
-        tokens: Of the items that have no result.
+        backlog: The name of the customer's backlog on the job's route.
+        tokens: The total tokens of the items without a result.
     """
 
     due_ms: int
@@ -58,29 +60,30 @@
 
 
 class Backlog(NamedTuple):
-    """At most how many tokens a customer has waiting on a route.
+    """An upper bound of the tokens that a customer has waiting on a route.
 
-    `None` if jobs were accepted that were not counted.
+    Attributes:
+        tokens: The bound; `None` if jobs were accepted without being counted.
     """
 
     tokens: int | None
 
 
 class Claim(NamedTuple):
-    """Which VM runs a job; the key goes with that VM's lease."""
+    """The VM that runs a job; the key is removed with that VM's lease."""
 
     vm: str
 
 
 class Progress(NamedTuple):
-    """How far an item came at a VM that had to stop.
+    """An unfinished item's progress, for the VM that runs it next.
 
     Attributes:
-        item: The item.
-        output: What it has brought so far, one text an event.
+        item: The item's id.
+        output: The output so far, one text per event.
         last_event: The last event's id; -1 if there is none.
-        failures: Failed attempts so far.
-        ran_s: How long that took.
+        failures: The number of failed attempts so far.
+        ran_s: How long the output so far took, in seconds.
     """
 
     item: str
@@ -95,22 +98,22 @@
 
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
-        # The listing of what is open has the backlogs as well.
+        # The prefix of both open jobs and backlogs, which are listed together.
         self.listing = f"{prefix}open"
         self.backlogs = f"{prefix}open.backlogs/"
         self.open = f"{prefix}open/"
         self.claims = f"{prefix}claims/"
 
     def meta(self, job: str) -> str:
-        """Returns the key of what is known of a job."""
+        """Returns the key of a job's metadata."""
         return f"{self._prefix}jobs/{job}/meta"
 
     def ended(self, job: str) -> str:
-        """Returns the key that says that a job was ended."""
+        """Returns the key that marks a job as ended by its caller."""
         return f"{self._prefix}jobs/{job}/ended"
 
     def progress(self, job: str) -> str:
-        """Returns the key of how far a job's items came."""
+        """Returns the key of the progress of a job's items."""
         return f"{self._prefix}jobs/{job}/progress"
 
     def part(self, job: str, number: int) -> str:
@@ -126,7 +129,7 @@
         return f"{self.results(job)}{position:05}"
 
     def open_job(self, job: str) -> str:
-        """Returns the key that says that a job has items to run."""
+        """Returns the key that marks a job as having items to run."""
         return self.open + job
 
     def backlog(self, name: str) -> str:
@@ -139,15 +142,15 @@
 
 
 def pack(message: Any) -> bytes:
-    """Returns a record as it lies in the store."""
+    """Encodes a record for the store."""
     return cbor2.dumps(codec.to_array(message))
 
 
 def unpack(kind: type[codec.M], value: bytes) -> codec.M:
-    """Reads a record.
+    """Decodes a record of the store.
 
     Raises:
-        CodecError: It is none, or of another kind.
+        CodecError: The value is not a record, or one of another kind.
     """
     try:
         return codec.from_plain(kind, cbor2.loads(value))
@@ -156,7 +159,7 @@
 
 
 def holder(value: bytes | None) -> str:
-    """Returns whose claim it is; empty if it cannot be read."""
+    """Returns the VM that holds a claim; empty if absent or unreadable."""
     if value is None:
         return ""
     try:
@@ -166,7 +169,7 @@
 
 
 def backlog(value: bytes | None) -> Backlog:
-    """Returns what is counted; nothing is known if it cannot be read."""
+    """Decodes a backlog; its tokens are `None` if absent or unreadable."""
     if value is None:
         return Backlog(None)
     try:
@@ -176,60 +179,64 @@
 
 
 def is_held_by(value: bytes | None, vm: str) -> bool:
-    """Tells whether a claim is a VM's; what cannot be read is nobody's."""
+    """Returns whether a VM holds a claim; none holds an unreadable one."""
     return holder(value) == vm
 
 
-class _Items(NamedTuple):
+class _ItemList(NamedTuple):
     items: tuple[dialect.JobItem, ...]
 
 
-class _Progresses(NamedTuple):
+class _ProgressList(NamedTuple):
     rows: tuple[Progress, ...]
 
 
 def pack_progress(rows: tuple[Progress, ...]) -> bytes:
-    """Returns how far a job's items came, as one value."""
-    return pack(_Progresses(rows))
+    """Encodes the progress of a job's items as one value."""
+    return pack(_ProgressList(rows))
 
 
 def unpack_progress(value: bytes) -> tuple[Progress, ...]:
-    """Reads how far a job's items came.
+    """Decodes the progress of a job's items.
 
     Raises:
-        CodecError: It is not that.
+        CodecError: The value is not such a record.
     """
-    return unpack(_Progresses, value).rows
+    return unpack(_ProgressList, value).rows
 
 
 def pack_items(
-    items: tuple[dialect.JobItem, ...], most_bytes: int
+    items: tuple[dialect.JobItem, ...], max_bytes: int
 ) -> tuple[bytes, ...]:
-    """Returns a job's input as values of bounded size.
+    """Encodes a job's items as values of bounded part_bytes.
+
+    Args:
+        items: The job's items.
+        max_bytes: The bound on the encoded items of one value.
 
     Raises:
-        BadInputError: One item alone is too large.
+        BadInputError: A single item exceeds `max_bytes`.
     """
     parts: list[bytes] = []
-    held: list[dialect.JobItem] = []
-    size = 0
+    part_items: list[dialect.JobItem] = []
+    part_bytes = 0
     for item in items:
-        item_size = len(pack(item))
-        if item_size > most_bytes:
+        item_bytes = len(pack(item))
+        if item_bytes > max_bytes:
             raise dialect.BadInputError(f"item {item.item} is too large")
-        if held and size + item_size > most_bytes:
-            parts.append(pack(_Items(tuple(held))))
-            held, size = [], 0
-        held.append(item)
-        size += item_size
-    parts.append(pack(_Items(tuple(held))))
+        if part_items and part_bytes + item_bytes > max_bytes:
+            parts.append(pack(_ItemList(tuple(part_items))))
+            part_items, part_bytes = [], 0
+        part_items.append(item)
+        part_bytes += item_bytes
+    parts.append(pack(_ItemList(tuple(part_items))))
     return tuple(parts)
 
 
 def unpack_items(value: bytes) -> tuple[dialect.JobItem, ...]:
-    """Reads one value of a job's input.
+    """Decodes one value of a job's input.
 
     Raises:
-        CodecError: It is none.
+        CodecError: The value is not a list of items.
     """
-    return unpack(_Items, value).items
+    return unpack(_ItemList, value).items
--- a/packages/gateway/gateway/jobstate.py
+++ b/packages/gateway/gateway/jobstate.py
@@ -1,4 +1,4 @@
-"""One batch job as the VM that has claimed it runs it."""
+"""The state of batch jobs on the VM that has claimed them."""
 
 import collections
 import math
@@ -10,26 +10,27 @@
 from gateway import jobrecords
 from gateway.decisions import batchorder
 
-# A failed or refused item waits so long before it runs again, twice as long
-# each time: one that crashes its upstream must not take them all down.
+# A failed or refused item is retried after a pause that doubles each time, so
+# that an item that crashes its upstream does not take all upstreams down.
 _FIRST_PAUSE_S = 0.25
 _MAX_PAUSE_S = 4.0
 
 
-# Late items come after those that can be in time, but only up to this part of
-# the time after which they may be given up: each one has to run some day.
-_LATE_SHARE = 0.5
-# Jobs taken out that are remembered.
-_MAX_REMOVED = 1000
+# Items that will miss their due time run after those that can meet it, but
+# only until this share of the job's retention has passed. Otherwise they might
+# never run before they are given up.
+_LATE_LAST_SHARE = 0.5
+# How many removed jobs keep their time of removal.
+_MAX_REMOVED_JOBS = 1000
 
 
 class Moment(NamedTuple):
-    """When items are looked at, and what is known of runs by then.
+    """A point in time, and the estimated length of a run at that time.
 
     Attributes:
-        now_s: By the monotonic clock.
-        wall_s: By the time of day.
-        run_s: How long a whole run takes.
+        now_s: The monotonic clock, in seconds.
+        wall_s: The wall clock, in seconds of the epoch.
+        run_s: The estimated length of a whole run, in seconds.
     """
 
     now_s: float
@@ -41,15 +42,19 @@
     """An item that has no result yet.
 
     Attributes:
-        item: What to run.
-        output: The data of the events so far.
+        item: The request to run.
+        output: The data of the events received so far.
         last_event: The id of the last event; `None` before the first.
-        failures: Failed attempts, of which there may be only so many.
-        breaks: Runs in a row that broke without an answer.
-        not_before_s: When it may run again, by the monotonic clock.
-        ran_s: How long the runs so far took, without what was lost.
-        running_since_s: When it began to run, by the monotonic clock; `None`
-            while it waits.
+        failures: The number of failed attempts; `JobMeta.max_attempts` bounds
+            it.
+        breaks: The number of pauses since an upstream last sent data, at most
+            10; sets the length of the next pause.
+        not_before_s: The earliest time of the next run, by the monotonic
+            clock.
+        ran_s: How long the runs so far took, in seconds, without runs whose
+            output was lost.
+        running_since_s: When the current run began, by the monotonic clock;
+            `None` while the item waits.
     """
 
     def __init__(self, item: dialect.JobItem) -> None:
@@ -63,7 +68,7 @@
         self.running_since_s: float | None = None
 
     def done_s(self, now_s: float) -> float:
-        """Returns how long it took to bring what it has so far."""
+        """Returns how long the output so far took, in seconds."""
         if not self.output:
             return 0.0
         if self.running_since_s is None:
@@ -71,40 +76,40 @@
         return self.ran_s + now_s - self.running_since_s
 
     def begin(self, now_s: float) -> None:
-        """Notes that it runs."""
+        """Marks the item as running."""
         self.running_since_s = now_s
 
     def end(self, now_s: float) -> None:
-        """Notes that it does not run any more."""
+        """Marks the item's run as over."""
         self.ran_s = self.done_s(now_s)
         self.running_since_s = None
 
     def pause(self) -> None:
-        """Keeps it from running for a while."""
+        """Delays the next run; the pause doubles with each call."""
         pause_s = min(_FIRST_PAUSE_S * 2**self.breaks, _MAX_PAUSE_S)
         self.breaks = min(self.breaks + 1, 10)
         self.not_before_s = time.monotonic() + pause_s
 
     def progress(self) -> jobrecords.Progress:
-        """Returns how far it came."""
-        last = -1 if self.last_event is None else self.last_event
+        """Returns the progress to store for another VM."""
+        last_event = -1 if self.last_event is None else self.last_event
         return jobrecords.Progress(
             self.item.item,
             tuple(self.output),
-            last,
+            last_event,
             self.failures,
             self.done_s(time.monotonic()),
         )
 
     def go_on_from(self, row: jobrecords.Progress) -> None:
-        """Takes over how far it came elsewhere."""
+        """Restores the progress that the item made on another VM."""
         self.output = list(row.output)
         self.last_event = None if row.last_event < 0 else row.last_event
         self.failures = row.failures
         self.ran_s = row.ran_s
 
     def completed(self) -> dialect.ItemResult:
-        """Returns the result of an item whose output is whole."""
+        """Returns the result of an item with complete output."""
         return dialect.ItemResult(self.item.item, True, "\n".join(self.output))
 
     def errored(self) -> dialect.ItemResult:
@@ -113,11 +118,11 @@
 
 
 class HeldClaim(NamedTuple):
-    """A job's claim of this VM.
+    """This VM's claim of a job.
 
     Attributes:
-        revision: Of the claim in the store.
-        lease: That it was written under; 0 if that is not known.
+        revision: The revision of the claim's key in the store.
+        lease: The lease that the claim was written under; 0 if unknown.
     """
 
     revision: int
@@ -125,18 +130,20 @@
 
 
 class JobState:
-    """A claimed job; any thread may call it.
+    """A job that this VM has claimed; thread-safe.
 
     Attributes:
-        meta: What is known of it.
-        claim: Each change is made on condition of its revision, so that a VM
-            which lost its claim changes nothing.
-        is_dropped: Whether it was ended, or the claim lost.
-        is_giving_up: Whether a thread lists its items as given up.
+        meta: The job's metadata.
+        claim: This VM's claim. Every write is conditional on its revision, so
+            a VM that lost the claim changes nothing.
+        is_dropped: Whether this VM no longer runs the job because it was
+            ended, finished or handed over, or its claim was lost.
+        is_giving_up: Whether a thread is writing the results of items that
+            are given up.
         next_position: The position of the next result.
-        list_lock: Held while a result is written: a position is settled
-            before the next one is used, else an answer that was lost leaves
-            a hole.
+        list_lock: Held while a result is written. The write at a position
+            must be confirmed before the next position is used; otherwise a
+            write whose answer was lost could leave a gap.
     """
 
     def __init__(
@@ -161,46 +168,46 @@
 
     @property
     def due_s(self) -> float:
-        """When it is due, in seconds of the epoch."""
+        """The time when all results are due, in seconds of the epoch."""
         return self.meta.accepted_ms / 1000 + self.meta.due_s
 
     def is_given_up(self, wall_s: float) -> bool:
-        """Tells whether its items may be given up by now."""
-        kept_s = wall_s - self.meta.accepted_ms / 1000
-        return kept_s > self.meta.retention_s
+        """Returns whether the job's items are past their retention."""
+        age_s = wall_s - self.meta.accepted_ms / 1000
+        return age_s > self.meta.retention_s
 
     def is_done(self) -> bool:
-        """Tells whether every item has a result."""
+        """Returns whether every item has a result."""
         with self._lock:
             return not self._pending and not self._running
 
     def is_last(self) -> bool:
-        """Tells whether the one running item is all that has no result."""
+        """Returns whether only one item, a running one, has no result."""
         with self._lock:
             return len(self._running) == 1 and not self._pending
 
     def unlisted(self) -> list[ItemState]:
-        """Returns the items that have no result, waiting ones first."""
+        """Returns the items without a result, waiting ones first."""
         with self._lock:
             return [*self._pending, *self._running]
 
     def tokens(self) -> int:
-        """Returns the tokens of the items that have no result."""
+        """Returns the total tokens of the items without a result."""
         return sum(row.item.tokens for row in self.unlisted())
 
     def input(self, item: str) -> bytes | None:
-        """Returns the body of an item that has no result, if it is one."""
+        """Returns the body of an item without a result; `None` otherwise."""
         for row in self.unlisted():
             if row.item.item == item:
                 return row.item.body
         return None
 
     def count_pending(self) -> int:
-        """Returns how many items wait for a run."""
+        """Returns how many items wait to run."""
         return len(self._pending)
 
     def count_running(self) -> int:
-        """Returns how many items run, or have a result to be written."""
+        """Returns how many items run or have a result still to be written."""
         return len(self._running)
 
     def ready(self, moment: Moment) -> list[ItemState]:
@@ -213,54 +220,63 @@
             ]
 
     def standing(self, item: ItemState, moment: Moment) -> batchorder.Standing:
-        """Returns what decides an item's turn."""
+        """Returns the values that decide the item's place in the order."""
         done_s = item.done_s(moment.now_s)
         is_late = self._is_late(moment, done_s)
         return batchorder.Standing(self.due_s, done_s, is_late)
 
     def take(self, item: ItemState) -> bool:
-        """Takes an item that waits, to run it; false if it does not wait."""
+        """Marks a waiting item as running; false if it is not waiting."""
         with self._lock:
             if item not in self._pending:
                 return False
-            self._take(item)
+            self._move_to_running(item)
             return True
 
     def any_item(self) -> ItemState | None:
-        """Takes an item that waits, whether it may run or not."""
+        """Marks the first waiting item, paused or not, as running; returns it.
+
+        `None` if no item waits.
+        """
         with self._lock:
             if not self._pending:
                 return None
             item = self._pending[0]
-            self._take(item)
+            self._move_to_running(item)
             return item
 
-    def _take(self, item: ItemState) -> None:
+    def _move_to_running(self, item: ItemState) -> None:
         self._pending.remove(item)
         self._running.add(item)
 
     def _is_late(self, moment: Moment, done_s: float) -> bool:
-        """Tells whether an item cannot be in time even if it runs now."""
+        """Returns whether an item would miss its due time if it ran now."""
         age_s = moment.wall_s - self.meta.accepted_ms / 1000
-        if not self.meta.due_s or age_s > self.meta.retention_s * _LATE_SHARE:
+        if (
+            not self.meta.due_s
+            or age_s > self.meta.retention_s * _LATE_LAST_SHARE
+        ):
             return False
         return self.meta.due_s - age_s < moment.run_s - done_s
 
     def put_back(self, item: ItemState) -> None:
-        """Makes an item that has no result wait for its next run, first."""
+        """Puts a running item back at the head of the waiting ones.
+
+        Does nothing if the item already has a result.
+        """
         with self._lock:
             if item in self._running:
                 self._running.discard(item)
                 self._pending.appendleft(item)
 
     def note_listed(self, item: ItemState) -> None:
-        """Notes that an item's result stands at the next position."""
+        """Records that an item's result was written at `next_position`."""
         with self._lock:
             self.next_position += 1
             self._running.discard(item)
 
     def go_on_from(self, rows: tuple[jobrecords.Progress, ...]) -> None:
-        """Takes over how far the items came at another VM."""
+        """Restores the progress that items made on another VM."""
         by_item = {row.item: row for row in rows}
         with self._lock:
             for item in self._pending:
@@ -275,35 +291,43 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._jobs: dict[str, JobState] = {}
-        # When jobs came here and were taken out, by the monotonic clock.
+        # When jobs were added and removed, by the monotonic clock.
         self._added_s: dict[str, float] = {}
         self._removed_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def add(self, state: JobState) -> JobState:
-        """Adds a job and returns what is to run.
+        """Adds a job and returns the state to run it from.
 
-        The failure: a scan finds the claim of a job that is being accepted
-        and both hand it in; the items of two states would run twice. The
-        first one stays, with the claim that is newer.
+        A scan may find the claim of a job that is just being accepted, and
+        both add the job. With two states each item would run twice, so the
+        first state is kept, with the newer of the two claims.
         """
         with self._lock:
-            held = self._jobs.setdefault(state.meta.job, state)
-            held.claim = max(held.claim, state.claim)
+            kept = self._jobs.setdefault(state.meta.job, state)
+            kept.claim = max(kept.claim, state.claim)
             self._added_s.setdefault(state.meta.job, time.monotonic())
-            return held
+            return kept
 
     def get(self, job: str) -> JobState | None:
-        """Returns a job."""
+        """Returns a job's state; `None` if it is not in the table."""
         return self._jobs.get(job)
 
     def added_s(self, job: str) -> float:
-        """Returns when a job came here; a listing of before may lack it."""
+        """Returns when a job was added, by the monotonic clock.
+
+        A listing that was read earlier may lack the job. Minus infinity if
+        the job is not in the table.
+        """
         return self._added_s.get(job, -math.inf)
 
     def removed_s(self, job: str) -> float:
-        """Returns when a job was taken out; a listing may still have it."""
+        """Returns when a job was removed, by the monotonic clock.
+
+        A listing that was read earlier may still have the job. Minus infinity
+        if no removal is recorded.
+        """
         return self._removed_s.get(job, -math.inf)
 
     def names(self) -> set[str]:
@@ -312,25 +336,25 @@
             return set(self._jobs)
 
     def by_due_time(self) -> list[JobState]:
-        """Returns all jobs, the one that is due first at the front."""
+        """Returns all jobs, the earliest due time first."""
         with self._lock:
             return sorted(self._jobs.values(), key=lambda row: row.due_s)
 
     def remove(self, job: str) -> bool:
-        """Takes a job out for good; false if it is not here."""
+        """Removes and drops a job; false if it is not in the table."""
         with self._lock:
             state = self._jobs.pop(job, None)
             if state is None:
                 return False
             self._added_s.pop(job, None)
             self._removed_s[job] = time.monotonic()
-            if len(self._removed_s) > _MAX_REMOVED:
+            if len(self._removed_s) > _MAX_REMOVED_JOBS:
                 self._removed_s.popitem(last=False)
         state.is_dropped = True
         return True
 
     def clear(self) -> list[JobState]:
-        """Takes all jobs out and returns them."""
+        """Removes all jobs and returns them."""
         with self._lock:
             states = list(self._jobs.values())
             self._jobs.clear()
