--- a/tests/gateway/test_jobdirectory.py
+++ b/tests/gateway/test_jobdirectory.py
@@ -1,4 +1,4 @@
-"""Calls about batch jobs that need no call to the store."""
+"""Tests calls about batch jobs that are answered without the store."""
 
 import base64
 from typing import Any
@@ -30,8 +30,10 @@
 def _vms(scene: gatewayscene.Scene) -> list[gatewayscene.Vm]:
     vms = [scene.add_vm(f"vm{row}", f"d{row}") for row in range(3)]
     for vm in vms:
-        listed = vm.kernel.find(services.MEMBERSHIP, members.Members)
-        gatewayscene.until(lambda listed=listed: listed.count() == 3)
+        membership = vm.kernel.find(services.MEMBERSHIP, members.Members)
+        gatewayscene.until(
+            lambda membership=membership: membership.count() == 3
+        )
     return vms
 
 
@@ -49,7 +51,7 @@
 def test_a_job_just_accepted_is_read_at_any_vm_without_the_store(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Reads that come before the listing has a claim cost three calls each."""
+    """Each read before the listing has the claim would cost three calls."""
     scene.add_engine(events=400).pause_s = 0.05
     vms = _vms(scene)
     for number in range(4):
@@ -65,7 +67,7 @@
 def test_a_job_that_is_done_is_read_at_any_vm_without_the_store(
     scene: gatewayscene.Scene,
 ) -> None:
-    """No VM has the claim of a job that is done, and callers read it again."""
+    """No VM holds the claim of a finished job, yet callers read it again."""
     scene.add_engine()
     vms = _vms(scene)
     assert vms[0].submit("done", _items(3)).status == 202
@@ -81,7 +83,7 @@
 def test_an_items_body_comes_from_the_vm_that_runs_it(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Callers ask for bodies at any VM; each would be read from the store."""
+    """Callers ask any VM for bodies, which would be read from the store."""
     scene.add_engine(events=400).pause_s = 0.05
     vms = _vms(scene)
     assert vms[0].submit("bodies", _items(2)).status == 202
@@ -104,10 +106,10 @@
         assert (answer.status, answer.body) == (200, b"body 0")
 
 
-def test_a_reader_that_is_behind_asks_for_all_that_it_lacks(
+def test_a_vm_fetches_all_results_that_it_lacks_from_a_peer(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Each read of a caller comes to another VM, from a later position."""
+    """A caller's reads go to different VMs, each from a later position."""
     engine = scene.add_engine(events=40)
     engine.pause_s = 0.02
     vms = _vms(scene)
@@ -128,11 +130,11 @@
     return jobstate.JobState(meta, (item,), jobstate.HeldClaim(1), ())
 
 
-def test_a_table_knows_when_jobs_came_and_went() -> None:
-    """Listings are older than what a VM has done since, and tell it wrong.
+def test_a_table_records_when_jobs_were_added_and_removed() -> None:
+    """A listing may be older than the latest changes to the table.
 
-    It looked up each job that it had just accepted, and claimed again each
-    that it had just finished.
+    The VM looked up each job that it had just accepted, and claimed each job
+    again that it had just finished.
     """
     table = jobstate.JobTable()
     assert table.added_s("j") == table.removed_s("j")
@@ -142,7 +144,7 @@
     assert table.added_s("j") < table.removed_s("j")
 
 
-def test_scans_make_no_calls_for_what_a_listing_cannot_know_yet(
+def test_scans_make_no_calls_for_changes_newer_than_the_listing(
     scene: gatewayscene.Scene,
 ) -> None:
     scene.add_engine()
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs over whole gateways, and what fails while they run."""
+"""Tests batch jobs on whole gateways, with failures while they run."""
 
 import base64
 import threading
@@ -36,7 +36,7 @@
 
 
 def _finished(vm: gatewayscene.Vm, job: str) -> list[dict[str, Any]]:
-    """Reads a job's results as a caller does, to the end."""
+    """Reads all results of a job, page by page, as a caller does."""
     rows: list[dict[str, Any]] = []
     end_s = time.monotonic() + 20  # Only bounds a failing test.
     while True:
@@ -75,10 +75,10 @@
 def test_an_item_goes_on_after_its_last_event(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The engine breaks off, once inside an event.
+    """The engine breaks the stream off, once in the middle of an event.
 
-    What came whole stays and the run goes on behind it: no event is missing
-    or stands twice.
+    The run resumes after the last complete event: no event is missing or
+    repeated.
     """
     engine = scene.add_engine()
     engine.faults = [Fault("cut", 2), Fault("part", 3), Fault("busy")]
@@ -112,12 +112,12 @@
     assert len(engine.runs) == 1
 
 
-def test_a_job_whose_answer_the_store_lost_is_accepted_once(
+def test_a_job_whose_commit_answer_is_lost_is_accepted_once(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The store takes the job and its answer never comes.
+    """The store commits the job, but its answer is lost.
 
-    A 503 would promise that nothing runs, and it would run all the same.
+    A 503 would promise that nothing runs although the job does run.
     """
     engine = scene.add_engine()
     vm = scene.add_vm()
@@ -127,7 +127,7 @@
     assert len(engine.runs) == 3
 
 
-def test_a_result_whose_answer_the_store_lost_stands_once(
+def test_a_result_whose_commit_answer_is_lost_is_listed_once(
     scene: gatewayscene.Scene,
 ) -> None:
     scene.add_engine()
@@ -155,10 +155,10 @@
 def test_a_job_outlives_the_vm_that_accepted_it(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A VM accepts a job and loses its power with items half done.
+    """A VM accepts a job and loses power while its items run.
 
-    Another finds the job without a claim once the lease has ended, and
-    finishes it; what was listed before keeps its position.
+    Once the VM's lease has ended, another VM finds the job unclaimed and
+    finishes it. Results listed before keep their positions.
     """
     scene.add_engine(events=60).pause_s = 0.02
     first, second = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
@@ -173,10 +173,10 @@
 def test_a_vm_that_loses_its_power_loses_little_of_its_items(
     scene: gatewayscene.Scene,
 ) -> None:
-    """All VMs lose their power with the engines full of items.
+    """All VMs lose power while the engines are full of items.
 
-    Each item would begin anew, and the engines do their work twice just when
-    all that waited comes as well.
+    If each item started anew, the engines would do the work twice, just when
+    the requests that waited arrive as well.
     """
     engine = scene.add_engine(events=200)
     engine.pause_s = 0.05
@@ -196,7 +196,8 @@
 ) -> None:
     """A VM is replaced as planned while items run.
 
-    The next VM goes on behind the last event instead of running them again.
+    The next VM resumes the items after their last event instead of running
+    them again.
     """
     engine = scene.add_engine(events=150)
     engine.pause_s = 0.02
@@ -217,16 +218,16 @@
 ) -> None:
     """All VMs of a failure domain stop while another VM pings them.
 
-    The domain counts as cut off, so its engines, of which nothing was heard,
-    get no items; and as nothing is sent, nothing is ever heard of them. The
-    job's items would wait for ever.
+    The domain then counts as cut off, so its engines get no items. Without
+    items the engines send nothing that would show they are reachable, and the
+    job's items would wait forever.
     """
     scene.add_engine()
     vm = scene.add_vm("vm2", "d2")
-    found = vm.kernel.find("membership", members.Members)
+    membership = vm.kernel.find("membership", members.Members)
     for _ in range(2):
-        found.note_ping("d1", "vm1", was_answered=False)
-    assert found.lost_domains() == {"d1"}
+        membership.note_ping("d1", "vm1", was_answered=False)
+    assert membership.lost_domains() == {"d1"}
     vm.submit("j1", _items(3))
     assert len(_finished(vm, "j1")) == 3
 
@@ -234,9 +235,10 @@
 def test_many_jobs_without_slots_ask_the_leader_once(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Engines are full, and each job that waits asks for slots of its own.
+    """The engines are full, and many jobs wait for slots.
 
-    With many jobs these are more messages than all requests have.
+    If each job asked the leader by itself, that would be more messages than
+    all requests cause.
     """
     scene.add_engine(events=400).pause_s = 0.05
     vm = scene.add_vm()
@@ -248,22 +250,22 @@
     asked: list[int] = []
 
     def take(service: str, standings: list[Any]) -> list[Any]:
-        # The runner's own thread goes on feeding meanwhile.
+        # The runner's own thread also calls this.
         if threading.current_thread() is threading.main_thread():
             asked.append(len(standings))
         return []
 
     monkeypatch.setattr(placed, "take_batch", take)
-    running = vm.kernel.find("runner", runner.Runner)
-    assert len(running.dump()) == 6
-    running.feed()
+    job_runner = vm.kernel.find("runner", runner.Runner)
+    assert len(job_runner.dump()) == 6
+    job_runner.feed()
     assert len(asked) == 1
 
 
 def test_an_error_in_placement_does_not_end_the_feeding_of_items(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The thread that feeds all jobs dies, and items are left lying."""
+    """If the thread that feeds all jobs ended, items would never run."""
     scene.add_engine()
     vm = scene.add_vm()
     placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
@@ -272,7 +274,7 @@
     def fail_once(service: str, standings: list[Any]) -> list[Any]:
         if not failed.is_set():
             failed.set()
-            raise RuntimeError("as told")
+            raise RuntimeError("injected failure")
         return take(service, standings)
 
     monkeypatch.setattr(placed, "take_batch", fail_once)
@@ -283,10 +285,10 @@
 def test_a_job_that_is_given_up_does_not_hold_up_others(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The store takes no changes while an old job's items are given up.
+    """The store refuses commits while an old job's items are given up.
 
-    Their results cannot be written until it does, and the thread that waited
-    for that fed no other job of the VM meanwhile.
+    Their results cannot be written until it accepts commits again. The thread
+    that waited for this used to be the one that feeds the VM's other jobs.
     """
     value = gatewayscene.configuration(2)
     (batch,) = (row for row in value["routes"] if row["name"] == "batch")
@@ -301,8 +303,8 @@
     )
     vm.submit("new", _items(1, "new"))
     vm.client.refuses_commits = True
-    jobs_ = vm.kernel.find("runner", runner.Runner)
-    gatewayscene.until(lambda: jobs_.dump()["old"]["running"] == 1)
+    job_runner = vm.kernel.find("runner", runner.Runner)
+    gatewayscene.until(lambda: job_runner.dump()["old"]["running"] == 1)
     engine = scene.add_engine()
     gatewayscene.until(lambda: [run.attempt for run in engine.runs] == ["new0"])
     vm.client.refuses_commits = False
@@ -313,7 +315,7 @@
 def test_an_ended_job_stops_and_keeps_what_is_listed(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A caller ends its job at another VM than the one that runs it."""
+    """A caller ends its job through a VM other than the one that runs it."""
     engine = scene.add_engine(events=400)
     engine.pause_s = 0.05
     first, second = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
@@ -333,7 +335,9 @@
     assert second.call("GET", "/items/j1?id=other").status == 404
 
 
-def test_a_job_is_its_customers_alone(scene: gatewayscene.Scene) -> None:
+def test_a_job_is_hidden_from_other_customers(
+    scene: gatewayscene.Scene,
+) -> None:
     value = gatewayscene.configuration(2)
     value["tenants"].append({"name": "other", "api_keys": ["k2"]})
     scene.configure(value)
@@ -344,7 +348,7 @@
     assert vm.call("DELETE", "/lots/j1", headers=other).status == 404
 
 
-def test_a_malformed_job_is_told_what_is_wrong(
+def test_a_malformed_job_is_refused_with_an_error(
     scene: gatewayscene.Scene,
 ) -> None:
     vm = scene.add_vm()
@@ -355,19 +359,19 @@
     assert vm.results("j9").status == 404
 
 
-def test_a_vm_that_runs_a_job_tells_others_of_it(
+def test_results_are_read_from_the_vm_that_runs_the_job(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Callers read a job's results at whichever VM they meet.
+    """Callers read a job's results through any VM.
 
-    Each VM would read from the store what the one that runs the job knows,
-    and each such read has its price there.
+    A VM must ask the one that runs the job, because each read of the store
+    has a cost.
     """
     scene.add_engine(events=400).pause_s = 0.05
     first, second = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
     first.submit("j1", _items(2))
-    listed = second.kernel.find(names.JOB_LISTING, joblisting.JobListing)
-    gatewayscene.until(lambda: "j1" in listed.all()[0].holders())
+    listing = second.kernel.find(names.JOB_LISTING, joblisting.JobListing)
+    gatewayscene.until(lambda: "j1" in listing.all()[0].holders())
     before = second.client.calls.count("get")
     answer = second.results("j1")
     assert (answer.status, answer.json()["total"]) == (200, 2)
@@ -377,10 +381,10 @@
 def test_a_job_is_accepted_by_one_call_to_the_store(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A VM has just been cut off from the store as a job comes.
+    """A VM is cut off from the store just before a job arrives.
 
-    With a read before the write both wait for their timeouts, and the job is
-    accepted by way of another VM, but too late.
+    If it read before it wrote, both calls would run into their timeouts, and
+    the job would be accepted through another VM too late.
     """
     scene.add_engine()
     vm = scene.add_vm()
@@ -394,17 +398,18 @@
 def test_a_job_that_comes_as_the_store_is_back_needs_no_lease(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store is away for longer than a lease and comes back without them.
+    """The store is unavailable for longer than a lease, so all leases end.
 
-    Jobs that come before the next renewal were refused: the lease has ended.
+    Jobs that arrived before the VM had a new lease used to be refused because
+    their claims named the old one.
     """
     scene.add_engine()
     vm = scene.add_vm()
-    held = vm.kernel.find("membership", members.Members)
-    gatewayscene.until(held.has_valid_lease)
-    monkeypatch.setattr(held, "has_valid_lease", lambda: False)
-    lease = held.lease()
-    monkeypatch.setattr(held, "lease", lambda: lease + 5000)
+    membership = vm.kernel.find("membership", members.Members)
+    gatewayscene.until(membership.has_valid_lease)
+    monkeypatch.setattr(membership, "has_valid_lease", lambda: False)
+    lease = membership.lease()
+    monkeypatch.setattr(membership, "lease", lambda: lease + 5000)
     assert vm.submit("j1", _items(2)).status == 202
     monkeypatch.undo()
     assert len(_finished(vm, "j1")) == 2
@@ -413,21 +418,25 @@
 def test_a_vm_whose_lease_ran_out_does_not_answer_for_its_jobs(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Its claims went with the lease; it gets a new one and goes on.
+    """A VM's lease and claims end, and it continues with a new lease.
 
-    Another VM takes the job over and lists a result, and whoever asks the
-    first one reads that there is none.
+    Another VM may take the job over and list results, so an answer from the
+    first VM that there are none would be wrong.
     """
     scene.add_engine(events=400).pause_s = 0.05
     first, second = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
     assert first.submit("j1", _items(2)).status == 202
-    found = second.kernel.find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
-    gatewayscene.until(lambda: found.find("j1") == "vm1")
-    asked = second.kernel.find("peers", peers.WebsocketPeers)
-    ask = jobmessages.ReadJob("j1", 0)
-    assert asked.call("vm1", ask, 1.0).unwrap().is_held
-    held = first.kernel.find("membership", members.Members)
-    lease = held.lease()
+    directory = second.kernel.find(
+        names.JOB_DIRECTORY, jobdirectory.JobDirectory
+    )
+    gatewayscene.until(lambda: directory.find("j1") == "vm1")
+    second_peers = second.kernel.find("peers", peers.WebsocketPeers)
+    read_job = jobmessages.ReadJob("j1", 0)
+    assert second_peers.call("vm1", read_job, 1.0).unwrap().is_held
+    membership = first.kernel.find("membership", members.Members)
+    lease = membership.lease()
     scene.store.end_lease(lease)
-    gatewayscene.until(lambda: held.has_valid_lease() and held.lease() != lease)
-    assert not asked.call("vm1", ask, 1.0).unwrap().is_held
+    gatewayscene.until(
+        lambda: membership.has_valid_lease() and membership.lease() != lease
+    )
+    assert not second_peers.call("vm1", read_job, 1.0).unwrap().is_held
--- a/tests/gateway/test_jobstate.py
+++ b/tests/gateway/test_jobstate.py
@@ -1,4 +1,4 @@
-"""A job that a VM runs, and the table of them."""
+"""Tests the state of a claimed job and the table of such jobs."""
 
 from gateway import dialect
 from gateway import jobrecords
@@ -34,10 +34,10 @@
 
 
 def test_a_job_that_is_handed_in_twice_has_one_state() -> None:
-    """A scan finds the claim of a job that is being accepted.
+    """A scan finds the claim of a job that is just being accepted.
 
-    Both hand the job in. With two states each item would run twice at once,
-    and the results of one would be written under a claim that has changed.
+    Both add the job to the table. With two states each item would run twice
+    at once, and one state would write results under an outdated claim.
     """
     table = jobstate.JobTable()
     accepted, scanned = _state(10), _state(12)
@@ -61,9 +61,10 @@
 
 
 def test_an_item_with_a_result_is_not_put_back() -> None:
-    """A run ends after its result was written, and then cleans up.
+    """A run cleans up after its result was written.
 
-    An item put back then would run again, and stand at two positions.
+    If this put the item back, it would run again and be listed at two
+    positions.
     """
     state = _state(10)
     item = _take(state)
@@ -81,12 +82,13 @@
 def test_an_item_that_cannot_be_in_time_waits_for_others() -> None:
     """A job is due after 18 s and an item takes 5 s.
 
-    Begun after 14 s it is late whatever is done; others may yet be in time.
+    An item that starts after 14 s is late in any case, so items that can still
+    be in time run first.
     """
     state = _state(10)
     assert _late(state, 12.0) == [False, False]
     assert _late(state, 14.0) == [True, True]
-    # One that ran for three seconds before it was broken off is still in time.
+    # An item that ran for three seconds before it broke off is still in time.
     item = _take(state)
     item.begin(0.0)
     item.output.append("data 1")
@@ -95,18 +97,19 @@
     assert _late(state, 14.0) == [False, True]
 
 
-def test_a_run_that_brought_nothing_counts_for_nothing() -> None:
-    """An upstream is silent for seconds before its connection is given up."""
+def test_a_run_without_output_counts_as_no_progress() -> None:
+    """An upstream sends nothing for seconds until its connection is closed."""
     item = _take(_state(10))
     item.begin(0.0)
     item.end(3.0)
     assert item.done_s(3.0) == 0.0
 
 
-def test_what_ran_elsewhere_counts_after_a_takeover() -> None:
-    """All VMs lose their power with items nearly done.
+def test_progress_on_another_vm_counts_after_a_takeover() -> None:
+    """All VMs lose power with items nearly done.
 
-    Taken for new ones, they would wait behind others and be late.
+    If the items were treated as new, they would wait behind others and be
+    late.
     """
     before, after = _state(10), _state(12)
     item = _take(before)
@@ -116,10 +119,11 @@
     assert [row.done_s(20.0) for row in after.ready(_at(20.0))] == [4.0, 0.0]
 
 
-def test_an_item_that_waited_long_does_not_wait_for_ever() -> None:
-    """Engines are overloaded for so long that late items never get a slot.
+def test_an_item_that_waited_long_is_not_ranked_last_forever() -> None:
+    """Engines are overloaded, and late items never get a slot.
 
-    They would be given up at the end of their retention.
+    They would be given up at the end of their retention, so after half of it
+    they are no longer ranked last.
     """
     state = _state(10)
     assert _late(state, 29.0) == [True, True]
