--- a/packages/gateway/gateway/resultwriter.py
+++ b/packages/gateway/gateway/resultwriter.py
@@ -1,4 +1,4 @@
-"""Writes the results of items to the platform's store, each once."""
+"""Writes the result of each item to the platform's store exactly once."""
 
 import random
 import time
@@ -14,14 +14,14 @@
 
 _events = eventlog.Events("runner")
 
-_READ_S = 1.0
-# Between tries while the store is away.
-_MIN_PAUSE_S = 0.1
-_MAX_PAUSE_S = 0.3
+_READ_TIMEOUT_S = 1.0
+# Pause between attempts while the store is unavailable.
+_MIN_RETRY_PAUSE_S = 0.1
+_MAX_RETRY_PAUSE_S = 0.3
 
 
 class ResultWriter:
-    """Gives each result a position that it keeps."""
+    """Writes each result at the next free position of its job."""
 
     def __init__(
         self,
@@ -42,17 +42,20 @@
         row: dialect_lib.ItemResult,
         why: str,
     ) -> None:
-        """Writes a result at the next position, until that is settled.
+        """Writes a result at the next position.
+
+        Retries until the result is written or the job is dropped.
 
         Args:
             state: The job.
-            item: The item, which counts as running until then.
-            row: Its result.
-            why: Why it is given up, for the log; empty if it is not.
+            item: The item, which counts as running until its result is
+                written.
+            row: The item's result.
+            why: Why the item is given up, for the log; empty if it completed.
         """
         while not state.is_dropped:
             with state.list_lock:
-                is_written = self._try(state, item, row)
+                is_written = self._try_write(state, item, row)
             if is_written:
                 _events.good_end(
                     "listed",
@@ -62,9 +65,9 @@
                     why=why,
                 )
                 return
-            time.sleep(random.uniform(_MIN_PAUSE_S, _MAX_PAUSE_S))
+            time.sleep(random.uniform(_MIN_RETRY_PAUSE_S, _MAX_RETRY_PAUSE_S))
 
-    def _try(
+    def _try_write(
         self,
         state: jobstate.JobState,
         item: jobstate.ItemState,
@@ -93,16 +96,16 @@
         is_written = isinstance(made, result.Ok) and isinstance(
             made.ok_value, int
         )
-        if is_written or self._stands(key, row):
+        if is_written or self._is_stored(key, row):
             self._note_written(state, item, row, is_last)
             return True
         if isinstance(made, result.Ok):
             self._reclaim(state)
         return False
 
-    def _stands(self, key: str, row: dialect_lib.ItemResult) -> bool:
-        """Tells whether a try whose answer was lost has written a result."""
-        got = self._store.get(key, _READ_S)
+    def _is_stored(self, key: str, row: dialect_lib.ItemResult) -> bool:
+        """Returns whether an attempt whose reply was lost wrote the result."""
+        got = self._store.get(key, _READ_TIMEOUT_S)
         if got.is_err():
             return False
         entry = got.unwrap()
@@ -122,7 +125,11 @@
             _events.info("finished", job=state.meta.job)
 
     def _reclaim(self, state: jobstate.JobState) -> None:
-        """Takes the claim again whose lease lapsed, or drops the job."""
+        """Claims a job again after the lease of its claim ended.
+
+        Drops the job if it is no longer open, or if another VM has claimed it
+        or has written results.
+        """
         job = state.meta.job
         claimed = self._claims.take(job)
         if isinstance(claimed, result.Err):
@@ -133,8 +140,9 @@
         if listed.is_err():
             return
         if len(listed.unwrap()) != state.next_position:
-            # Another VM ran it meanwhile and gave its claim up again; the
-            # next scan begins anew with what that one listed.
+            # Another VM ran the job meanwhile and released its claim. The
+            # next scan of `takeover.Takeover` loads the job with the results
+            # of that VM.
             self._drop(job, "another VM has listed results")
             return
         state.claim = claimed.ok_value
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -1,4 +1,4 @@
-"""Runs the batch jobs that this VM has claimed, in slots that are free."""
+"""Runs the items of claimed batch jobs in slots that online requests leave."""
 
 from concurrent import futures
 import threading
@@ -32,27 +32,28 @@
 
 _events = eventlog.Events("runner")
 
-# How soon a slot that online requests leave is taken.
-_FEED_S = 0.1
+# Interval between checks for slots that online requests leave free.
+_SCHEDULE_INTERVAL_S = 0.1
 _MAX_RUNS = 64
-# Items in one question for slots: few come free in the time between two.
-_MAX_ASKED = 16
-# An engine that sends nothing for so long was cut off or has crashed.
-_SILENCE_S = 2.0
-# One that has begun to send does not pause so long.
-_GAP_S = 0.6
-# For runs to notice that they are ended before their progress is written.
-_END_S = 1.0
-# Until items were seen to end, and how much each one that ends counts.
-_FIRST_RUN_S = 5.0
+# Items per request for slots; few slots become free between two requests.
+_MAX_SLOTS_PER_REQUEST = 16
+# An engine that sends nothing for this long has crashed or is unreachable.
+_MAX_SILENCE_S = 2.0
+# Once it has begun to send, an engine does not pause for this long.
+_MAX_CHUNK_GAP_S = 0.6
+# How long a shutdown waits for cancelled runs before it writes their progress.
+_CANCEL_WAIT_S = 1.0
+# Initial value of the moving average of run durations, and the weight of each
+# completed item in it.
+_INITIAL_RUN_S = 5.0
 _RUN_WEIGHT = 0.1
 _HTTP_OK = 200
-_CANNOT_BE_DONE = 422
-_SERVER_ERROR = 500
+_HTTP_UNPROCESSABLE = 422
+_HTTP_SERVER_ERROR = 500
 
 
-class _Ready(NamedTuple):
-    """An item that may run now."""
+class _ReadyItem(NamedTuple):
+    """An item that may run now, with its job, service and priority."""
 
     service: str
     state: jobstate.JobState
@@ -61,7 +62,7 @@
 
 
 class Runner:
-    """Claims jobs, runs their items and lists the results."""
+    """Claims jobs, runs their items and writes the results."""
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: records.Settings
@@ -75,15 +76,15 @@
         self._pool = futures.ThreadPoolExecutor(
             _MAX_RUNS, thread_name_prefix="items"
         )
-        self._runs = 0
-        self._run_s = _FIRST_RUN_S
+        self._run_count = 0
+        self._mean_run_s = _INITIAL_RUN_S
 
     def start(self) -> None:
-        """Begins to look for jobs."""
+        """Starts the threads that find jobs, run items and write progress."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
-        self._feed = find(names.CONFIGURATION, configuration.Feed)
+        self._configuration = find(names.CONFIGURATION, configuration.Feed)
         self._placement = find(names.PLACEMENT, placement.Placement)
         self._book = find(names.JOB_BOOK, jobbook.JobBook)
         self._directory = find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
@@ -107,19 +108,19 @@
         )
         find(names.JOBS, jobs.Jobs).run_with(self)
         threading.Thread(
-            target=self._feed_items, name="runner", daemon=True
+            target=self._schedule_items, name="runner", daemon=True
         ).start()
         self._takeover.start()
         self._progress.start()
 
     def stop(self, grace_s: float) -> None:
-        """Hands its jobs to other VMs, with how far each item came."""
+        """Hands all jobs over to other VMs, with the progress of each item."""
         del grace_s
         self.hand_over()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def dump(self) -> Any:
-        """Returns the jobs that run here."""
+        """Returns the item counts of each job that this VM runs."""
         return {
             state.meta.job: {
                 "pending": state.count_pending(),
@@ -155,8 +156,8 @@
         """See `jobmessages.JobRunner`."""
         state = self._table.get(job)
         if state is None or state.claim.lease != self._members.lease():
-            # The claim went with the lease that it was written under, and
-            # another VM may have taken the job over and listed results.
+            # The store deletes a claim when its lease ends, so another VM may
+            # have taken over the job and written results.
             return None
         return state.next_position
 
@@ -170,7 +171,7 @@
         return self._takeover.holder(job)
 
     def hand_over(self) -> None:
-        """Stops all runs, writes how far they came and gives up claims."""
+        """Stops all runs, writes their progress and releases the claims."""
         if self._stopping.is_set():
             return
         self._stopping.set()
@@ -183,10 +184,10 @@
             self._hand_over(state)
 
     def _wait_for_runs(self) -> None:
-        end_s = time.monotonic() + _END_S
+        end_s = time.monotonic() + _CANCEL_WAIT_S
         while time.monotonic() < end_s:
             with self._lock:
-                if not self._runs:
+                if not self._run_count:
                     return
             time.sleep(0.01)
 
@@ -196,105 +197,105 @@
         ok = self._progress.hand_over(state)
         _events.info("handed_over", job=state.meta.job, items=items, ok=ok)
 
-    # Running items.
-
-    def _feed_items(self) -> None:
+    def _schedule_items(self) -> None:
         while not self._stopping.is_set():
-            self._wake.wait(_FEED_S)
+            self._wake.wait(_SCHEDULE_INTERVAL_S)
             self._wake.clear()
             self.feed()
 
     def feed(self) -> None:
-        """Begins to run what may run now, on each service in its order."""
-        moment = jobstate.Moment(time.monotonic(), time.time(), self._run_s)
-        ready: dict[str, list[_Ready]] = {}
+        """Starts the items that may run now, in rank order per service."""
+        moment = jobstate.Moment(
+            time.monotonic(), time.time(), self._mean_run_s
+        )
+        ready: dict[str, list[_ReadyItem]] = {}
         for state in self._table.by_due_time():
             if self._stopping.is_set():
                 return
-            for row in self._ready_safely(state, moment):
+            for row in self._try_find_ready(state, moment):
                 ready.setdefault(row.service, []).append(row)
         for service, rows in ready.items():
-            self._start_safely(service, rows)
+            self._try_start_items(service, rows)
 
-    def _ready_safely(
+    def _try_find_ready(
         self, state: jobstate.JobState, moment: jobstate.Moment
-    ) -> list["_Ready"]:
+    ) -> list["_ReadyItem"]:
         try:
-            return self._ready(state, moment)
-        except Exception as error:  # noqa: BLE001 - other jobs are fed.
+            return self._find_ready(state, moment)
+        except Exception as error:  # noqa: BLE001 - other jobs still run.
             _events.warning("not_fed", job=state.meta.job, why=repr(error))
             return []
 
-    def _ready(
+    def _find_ready(
         self, state: jobstate.JobState, moment: jobstate.Moment
-    ) -> list["_Ready"]:
+    ) -> list["_ReadyItem"]:
         items = state.ready(moment)
         if not items or state.is_dropped:
             return []
         if state.is_given_up(moment.wall_s):
-            self._give_up(state)
+            self._give_up_in_background(state)
             return []
-        service = self._service(state)
+        service = self._choose_service(state)
         if service is None:
             return []
         return [
-            _Ready(service, state, item, state.standing(item, moment))
+            _ReadyItem(service, state, item, state.standing(item, moment))
             for item in items
         ]
 
-    def _start_safely(self, service: str, rows: list["_Ready"]) -> None:
-        """Starts items; an error must not end the thread that feeds all."""
+    def _try_start_items(self, service: str, rows: list["_ReadyItem"]) -> None:
+        """Starts items; an error must not end the scheduling thread."""
         try:
-            self._start(service, rows)
-        except Exception as error:  # noqa: BLE001 - fed again soon.
+            self._start_items(service, rows)
+        except Exception as error:  # noqa: BLE001 - tried again soon.
             _events.warning("not_started", service=service, why=repr(error))
 
-    def _start(self, service: str, rows: list["_Ready"]) -> None:
-        """Runs the first of the items that wait, as slots are free."""
+    def _start_items(self, service: str, rows: list["_ReadyItem"]) -> None:
+        """Starts items in rank order while slots are free."""
         rows.sort(key=lambda row: batchorder.rank(row.standing))
         while rows:
             with self._lock:
-                count = min(_MAX_ASKED, _MAX_RUNS - self._runs)
+                count = min(_MAX_SLOTS_PER_REQUEST, _MAX_RUNS - self._run_count)
             if count <= 0:
                 return
-            asked, rows = rows[:count], rows[count:]
+            batch, rows = rows[:count], rows[count:]
             slots = self._placement.take_batch(
-                service, [row.standing for row in asked]
+                service, [row.standing for row in batch]
             )
-            for row, slot in zip(asked, slots, strict=False):
+            for row, slot in zip(batch, slots, strict=False):
                 if slot is not None:
-                    self._begin(row, slot)
-            if None in slots or len(slots) < _MAX_ASKED:
+                    self._submit_run(row, slot)
+            if None in slots or len(slots) < _MAX_SLOTS_PER_REQUEST:
                 return
 
-    def _begin(self, row: "_Ready", slot: heldslots.Slot) -> None:
+    def _submit_run(self, row: "_ReadyItem", slot: heldslots.Slot) -> None:
         if not row.state.take(row.item):
             slot.release()
             return
         with self._lock:
-            self._runs += 1
+            self._run_count += 1
         self._pool.submit(self._run, row.state, row.item, slot)
 
-    def _service(self, state: jobstate.JobState) -> str | None:
-        held = self._feed.current()
-        if held is None:
+    def _choose_service(self, state: jobstate.JobState) -> str | None:
+        in_force = self._configuration.current()
+        if in_force is None:
             return None
-        route = held.route(state.meta.host, state.meta.path)
+        route = in_force.route(state.meta.host, state.meta.path)
         if route is None or route.kind != "batch":
             return None
         return route.choose_service()
 
-    def _give_up(self, state: jobstate.JobState) -> None:
-        """Lists what may run no more, beside the feeding of other jobs.
+    def _give_up_in_background(self, state: jobstate.JobState) -> None:
+        """Writes error results for an expired job's items, on a pool thread.
 
-        The failure: while the store is away a result cannot be written, and
-        the thread that waits for it would feed no other job.
+        While the store is unavailable, a result cannot be written. The
+        scheduling thread would wait for it and start no item of other jobs.
         """
         if not state.is_giving_up:
             state.is_giving_up = True
-            self._pool.submit(self._list_given_up, state)
+            self._pool.submit(self._write_given_up, state)
 
-    def _list_given_up(self, state: jobstate.JobState) -> None:
+    def _write_given_up(self, state: jobstate.JobState) -> None:
         try:
             while (item := state.any_item()) is not None:
                 row = item.errored()
@@ -313,16 +314,16 @@
         item.begin(time.monotonic())
         try:
             self._run_item(state, item, slot)
-        except Exception as error:  # noqa: BLE001 - the item runs again.
+        except Exception as error:  # noqa: BLE001 - the item is retried.
             _events.warning("item_failed", item=item.item.item, why=repr(error))
         finally:
             slot.release()
             item.end(time.monotonic())
-            # Whatever ended the run, an item without a result runs again:
-            # one that stayed behind would never be listed.
+            # However the run ended, an item without a result waits for its
+            # next run. Left among the running ones, it would never get one.
             state.put_back(item)
             with self._lock:
-                self._runs -= 1
+                self._run_count -= 1
             self._wake.set()
 
     def _run_item(
@@ -343,7 +344,7 @@
             outgoing,
             slot,
             left_s=-1.0,
-            silence_s=_SILENCE_S,
+            silence_s=_MAX_SILENCE_S,
             last_event=item.last_event,
             on_open=slot.on_yield,
         )
@@ -351,19 +352,19 @@
             failure = sent.err_value
             if not slot.has_yielded:
                 item.pause()
-            self._note_break(state, item, slot, failure.why)
+            self._log_interruption(state, item, slot, failure.why)
             return
         answer = sent.ok_value.answer
         try:
             if answer.status == _HTTP_OK:
-                self._read(state, item, slot, answer)
+                self._read_stream(state, item, slot, answer)
             else:
-                self._failed(state, item, answer)
+                self._handle_error_status(state, item, answer)
         finally:
             answer.cancel()
             answer.close()
 
-    def _read(
+    def _read_stream(
         self,
         state: jobstate.JobState,
         item: jobstate.ItemState,
@@ -372,16 +373,16 @@
     ) -> None:
         splitter = eventstream.Splitter()
         why = ""
-        for piece in answer.chunks():
-            if isinstance(piece, result.Err):
-                why = piece.err_value.message
+        for chunk in answer.chunks():
+            if isinstance(chunk, result.Err):
+                why = chunk.err_value.message
                 break
-            for event in eventstream.parse(splitter.feed(piece.ok_value)):
+            for event in eventstream.parse(splitter.feed(chunk.ok_value)):
                 if event.number is not None:
                     item.last_event = event.number
                 if event.data is not None:
                     item.output.append(event.data)
-            answer.allow_silence(_GAP_S)
+            answer.allow_silence(_MAX_CHUNK_GAP_S)
             item.breaks = 0
             self._placement.health.heard(slot.upstream.instance)
             if state.is_dropped:
@@ -390,24 +391,24 @@
             if not slot.has_yielded:
                 slot.outcome = "failed"
                 item.pause()
-            self._note_break(state, item, slot, why or "cut in an event")
+            self._log_interruption(state, item, slot, why or "cut in an event")
             return
         answer.close()
         slot.release()
         took_s = item.done_s(time.monotonic())
-        self._run_s += (took_s - self._run_s) * _RUN_WEIGHT
+        self._mean_run_s += (took_s - self._mean_run_s) * _RUN_WEIGHT
         self._writer.write(state, item, item.completed(), "")
 
-    def _failed(
+    def _handle_error_status(
         self,
         state: jobstate.JobState,
         item: jobstate.ItemState,
         answer: services.UpstreamAnswer,
     ) -> None:
-        if answer.status == _CANNOT_BE_DONE:
+        if answer.status == _HTTP_UNPROCESSABLE:
             self._writer.write(state, item, item.errored(), "cannot be done")
             return
-        if answer.status == _SERVER_ERROR:
+        if answer.status == _HTTP_SERVER_ERROR:
             item.failures += 1
         if item.failures >= state.meta.max_attempts:
             self._writer.write(state, item, item.errored(), "attempts used up")
@@ -421,7 +422,7 @@
         )
         item.pause()
 
-    def _note_break(
+    def _log_interruption(
         self,
         state: jobstate.JobState,
         item: jobstate.ItemState,
--- a/packages/gateway/gateway/takeover.py
+++ b/packages/gateway/gateway/takeover.py
@@ -1,4 +1,4 @@
-"""Finds jobs that nobody runs, and claims them."""
+"""Finds open jobs that no VM runs, and claims them for this VM."""
 
 from collections.abc import Callable
 import random
@@ -20,21 +20,22 @@
 
 _events = eventlog.Events("runner")
 
-# How soon a job whose VM died, after its lease, or stopped is taken over. Two
-# scans, one at the VM that reads for this one, and the way between them take
-# 2.4 s at most, less than the three in which an ended job has to stop when
-# the word of it was lost.
-_SCAN_S = 0.8
+# Interval between scans: how soon a job is taken over once its VM has stopped,
+# or has died and its lease has ended. An ended job must stop within 3 s even if
+# the message about it is lost; a scan here, one on the VM that reads the store
+# for this one and the transfer between them take at most 2.4 s.
+_SCAN_INTERVAL_S = 0.8
 _MAX_UNCLAIMED = 10_000
 _START_RETRY_S = 0.1
-# For a reader to tell the listing after a start; less than a lease, within
-# which this VM's own claims of before have to be renewed.
-_TOLD_WITHIN_S = 1.2
-_READ_S = 1.0
+# How long a VM that has started waits for a reader VM to send the listing.
+# Shorter than a lease, because this VM's claims from before the restart must be
+# renewed within one.
+_LISTING_WAIT_S = 1.2
+_READ_TIMEOUT_S = 1.0
 
 
 class Claims:
-    """Claims jobs for this VM, under its lease."""
+    """Claims jobs for this VM under its lease."""
 
     def __init__(
         self,
@@ -50,11 +51,18 @@
     def take(
         self, job: str
     ) -> result.Result[jobstate.HeldClaim, jobmessages.JobError]:
-        """Claims a job that is open and that no VM runs."""
+        """Claims an open job that no VM has claimed.
+
+        Returns:
+            The claim, also if this VM holds it already, or an error:
+            `missing` if the job is not open or another VM has claimed it,
+            `unavailable` or `unknown` if the store failed or this VM has no
+            lease.
+        """
         keys, lease = self._book.keys, self._members.lease()
         if not lease:
             return result.Err(jobmessages.JobError("unavailable", "no lease"))
-        opened = self._store.get(keys.open_job(job), _READ_S)
+        opened = self._store.get(keys.open_job(job), _READ_TIMEOUT_S)
         if opened.is_err():
             message = opened.unwrap_err().message
             return result.Err(jobmessages.JobError("unavailable", message))
@@ -66,36 +74,40 @@
                 dialect_lib.Expected(keys.claim(job), 0),
                 dialect_lib.Expected(keys.open_job(job), entry.revision),
             ),
-            (self._write(job, lease),),
+            (self._claim_write(job, lease),),
             (),
         )
         if isinstance(made, result.Err):
             return made
         if isinstance(made.ok_value, dialect_lib.Conflict):
-            return self._own(job)
+            return self._read_own_claim(job)
         return result.Ok(jobstate.HeldClaim(made.ok_value, lease))
 
     def renew(self, claim: joblisting.ClaimRow) -> jobstate.HeldClaim | None:
-        """Puts a claim of this VM under its lease of now."""
+        """Rewrites a claim of this VM under its current lease.
+
+        Returns:
+            The new claim; `None` if the claim has changed or the store failed.
+        """
         key, lease = self._book.keys.claim(claim.job), self._members.lease()
         made = self._book.commit(
             (dialect_lib.Expected(key, claim.revision),),
-            (self._write(claim.job, lease),),
+            (self._claim_write(claim.job, lease),),
             (),
         )
         if isinstance(made, result.Ok) and isinstance(made.ok_value, int):
             return jobstate.HeldClaim(made.ok_value, lease)
         return None
 
-    def _write(self, job: str, lease: int) -> dialect_lib.Write:
+    def _claim_write(self, job: str, lease: int) -> dialect_lib.Write:
         claim = jobrecords.pack(jobrecords.Claim(self._vm))
         return dialect_lib.Write(self._book.keys.claim(job), claim, lease)
 
-    def _own(
+    def _read_own_claim(
         self, job: str
     ) -> result.Result[jobstate.HeldClaim, jobmessages.JobError]:
-        """Returns the claim if it is this VM's, whose answer was lost."""
-        got = self._store.get(self._book.keys.claim(job), _READ_S)
+        """Returns this VM's claim if an earlier write of it went unanswered."""
+        got = self._store.get(self._book.keys.claim(job), _READ_TIMEOUT_S)
         if got.is_err():
             message = got.unwrap_err().message
             return result.Err(jobmessages.JobError("unavailable", message))
@@ -109,18 +121,18 @@
         return result.Ok(jobstate.HeldClaim(entry.revision))
 
 
-class _Claimed(NamedTuple):
-    """A job whose claim this VM holds."""
+class _ClaimedJob(NamedTuple):
+    """A job that this VM has claimed but does not run yet."""
 
     job: str
     claim: jobstate.HeldClaim
 
 
 class Takeover:
-    """Looks for open jobs without a claim, and for its own ones.
+    """Takes over unclaimed open jobs, and resumes those this VM has claimed.
 
     Args:
-        on_job: Is called with each job that is to run here from now on.
+        on_job: Called with the id of each job that this VM starts to run.
     """
 
     def __init__(
@@ -142,34 +154,36 @@
         self._claims = claims
         self._on_job = on_job
         self._stopping = threading.Event()
-        # Scans in a row that found a job without a claim.
-        self._unclaimed: dict[str, int] = {}
+        # Number of scans that found each job without a claim.
+        self._unclaimed_scans: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begins to look."""
+        """Starts the thread that scans for jobs."""
         threading.Thread(target=self._run, name="takeover", daemon=True).start()
 
     def stop(self) -> None:
-        """Takes nothing over any more."""
+        """Stops taking over jobs."""
         self._stopping.set()
 
     def holder(self, job: str) -> str:
-        """Returns the VM that had a job's claim lately; empty if unknown."""
+        """Returns the last known VM with a job's claim; empty if unknown."""
         if self._table.get(job) is not None:
             return self._vm
         return self._listing.all()[0].holders().get(job, "")
 
     def _run(self) -> None:
-        self._go_on()
-        while not self._stopping.wait(_SCAN_S * random.uniform(0.8, 1.2)):
+        self._resume_after_restart()
+        while not self._stopping.wait(
+            _SCAN_INTERVAL_S * random.uniform(0.8, 1.2)
+        ):
             try:
                 self._scan()
-            except Exception as error:  # noqa: BLE001 - the next one may work.
+            except Exception as error:  # noqa: BLE001 - the next scan may work.
                 _events.warning("scan_failed", why=repr(error))
 
     def _scan(self) -> None:
         own = self._table.names()
-        # Before the rows are taken: they are as new as this, or newer.
+        # Computed before the rows are fetched, which are at least as recent.
         read_s = time.monotonic() - self._listing.age_s()
         rows = self._listing.latest()
         if rows is None:
@@ -177,79 +191,80 @@
         opened = set(rows.opened)
         for job in own - opened:
             if self._table.added_s(job) < read_s:
-                self._check_open(job)
-        self._run_forgotten(rows, opened, read_s)
+                self._drop_if_closed(job)
+        self._resume_forgotten(rows, opened, read_s)
         for job in opened - rows.holders().keys() - own:
-            if not self._stopping.is_set() and self._is_next(job):
+            if not self._stopping.is_set() and self._should_take_over(job):
                 self._take_over(job)
 
-    def _run_forgotten(
+    def _resume_forgotten(
         self, rows: joblisting.JobRows, opened: set[str], read_s: float
     ) -> None:
-        """Runs jobs whose claims are this VM's but that it does not run.
+        """Resumes jobs that this VM has claimed but does not run.
 
-        The failure: the store fails between a claim and the reading of the
-        job. The lease is renewed, so no other VM ever takes the job over.
+        If the store fails between the claim and the read of the job, the lease
+        is still renewed, so no other VM would ever take over the job.
 
         Args:
-            rows: The listing.
-            opened: The jobs that are open by it.
-            read_s: When it was read; a job that has ended here since then is
-                not forgotten.
+            rows: The listing of jobs.
+            opened: The ids of the jobs that the listing shows as open.
+            read_s: When the listing was read, by the monotonic clock. A job
+                that this VM removed after that is not resumed.
         """
         for claim in rows.held_by(self._vm):
             if claim.job not in opened or self._table.get(claim.job):
                 continue
             if self._table.removed_s(claim.job) < read_s:
                 _events.warning("forgotten", job=claim.job)
-                self._renew(claim)
+                self._renew_and_run(claim)
 
-    def _is_next(self, job: str) -> bool:
-        """Tells whether this VM should take over a job that nobody runs.
+    def _should_take_over(self, job: str) -> bool:
+        """Returns whether this VM should take over an unclaimed job.
 
-        Each job has its own order of VMs, so that jobs of a VM that died
-        are spread over the others; after some scans any VM takes it.
+        Each job ranks the VMs in its own order, which spreads the jobs of a
+        dead VM over the others. Each scan admits one more VM of that order.
         """
-        count = self._unclaimed.get(job, 0)
-        if len(self._unclaimed) > _MAX_UNCLAIMED:
-            self._unclaimed.clear()
-        self._unclaimed[job] = count + 1
+        count = self._unclaimed_scans.get(job, 0)
+        if len(self._unclaimed_scans) > _MAX_UNCLAIMED:
+            self._unclaimed_scans.clear()
+        self._unclaimed_scans[job] = count + 1
         first = self._members.rank(f"job {job}")[: count + 1]
         return self._vm in first
 
-    def _go_on(self) -> None:
-        """Goes on with what this VM ran before it was started again.
+    def _resume_after_restart(self) -> None:
+        """Resumes the jobs that this VM ran before it restarted.
 
-        The claims of the run before last as long as its lease; until then
-        no other VM takes its jobs over.
+        The earlier process's claims last until its lease ends; until then no
+        other VM takes over those jobs.
         """
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         while not self._stopping.wait(_START_RETRY_S):
             if not self._members.lease():
                 continue
-            rows = self._first_rows(time.monotonic() - begun_s)
+            rows = self._first_listing(time.monotonic() - started_s)
             if rows is None:
                 continue
             for claim in rows.held_by(self._vm):
-                self._renew(claim)
+                self._renew_and_run(claim)
             return
 
-    def _first_rows(self, waited_s: float) -> joblisting.JobRows | None:
-        """Returns the listing as a reader tells it, or the store after a while.
+    def _first_listing(self, waited_s: float) -> joblisting.JobRows | None:
+        """Returns the listing from a reader VM, or from the store after a wait.
 
-        The load: all VMs are started at once and would read it side by side.
+        Without the wait, VMs that are all started at once would all read the
+        listing from the store.
         """
         if self._listing.is_told():
             return self._listing.latest()
-        return self._listing.read() if waited_s > _TOLD_WITHIN_S else None
+        return self._listing.read() if waited_s > _LISTING_WAIT_S else None
 
-    def _renew(self, claim: joblisting.ClaimRow) -> None:
+    def _renew_and_run(self, claim: joblisting.ClaimRow) -> None:
         renewed = self._claims.renew(claim)
         if renewed is not None:
-            self._run_claimed(_Claimed(claim.job, renewed))
+            self._run_claimed_job(_ClaimedJob(claim.job, renewed))
 
-    def _check_open(self, job: str) -> None:
-        got = self._store.get(self._book.keys.open_job(job), _READ_S)
+    def _drop_if_closed(self, job: str) -> None:
+        got = self._store.get(self._book.keys.open_job(job), _READ_TIMEOUT_S)
         is_ended = got.is_ok() and got.unwrap() is None
         if is_ended and self._table.remove(job):
             _events.info("dropped", job=job, why="it is not open any more")
@@ -257,9 +272,9 @@
     def _take_over(self, job: str) -> None:
         claimed = self._claims.take(job)
         if isinstance(claimed, result.Ok):
-            self._run_claimed(_Claimed(job, claimed.ok_value))
+            self._run_claimed_job(_ClaimedJob(job, claimed.ok_value))
 
-    def _run_claimed(self, claimed: _Claimed) -> None:
+    def _run_claimed_job(self, claimed: _ClaimedJob) -> None:
         job = claimed.job
         try:
             state = self._read_job(claimed)
@@ -269,7 +284,7 @@
         if state is None:
             # The next scan finds the claim and reads the job again.
             return
-        self._unclaimed.pop(job, None)
+        self._unclaimed_scans.pop(job, None)
         if self._table.add(state) is not state:
             return
         _events.info(
@@ -280,16 +295,16 @@
         )
         self._on_job(job)
         if state.is_done():
-            self._close(state)
+            self._close_finished(state)
 
-    def _read_job(self, claimed: _Claimed) -> jobstate.JobState | None:
+    def _read_job(self, claimed: _ClaimedJob) -> jobstate.JobState | None:
         meta = self._book.meta(claimed.job)
         if meta.is_err():
             return None
         items = self._book.read_items(meta.unwrap())
         listed = self._book.results(claimed.job)
         key = self._book.keys.progress(claimed.job)
-        progress = self._store.get(key, _READ_S)
+        progress = self._store.get(key, _READ_TIMEOUT_S)
         if items.is_err() or listed.is_err() or progress.is_err():
             return None
         state = jobstate.JobState(
@@ -300,8 +315,8 @@
             state.go_on_from(jobrecords.unpack_progress(entry.value))
         return state
 
-    def _close(self, state: jobstate.JobState) -> None:
-        """Closes a job whose last result is there already."""
+    def _close_finished(self, state: jobstate.JobState) -> None:
+        """Closes a job whose results have all been written."""
         keys, job = self._book.keys, state.meta.job
         expected = dialect_lib.Expected(keys.claim(job), state.claim.revision)
         self._book.commit(
