--- a/packages/gateway/gateway/backlogs.py
+++ b/packages/gateway/gateway/backlogs.py
@@ -1,10 +1,11 @@
-"""Accepts batch jobs into the store while their customer's backlog has room.
-
-Beside the jobs lies a count of tokens for each customer and route. A job adds
-its own in the change that accepts it, on condition of the count's revision,
-so VMs that accept jobs at once cannot pass the bound together. Nothing is
-taken off as items end: the count is an upper bound, and only a VM that finds
-no room by it adds up what waits, from the open jobs themselves.
+"""Accepts batch jobs into the store while the customer's backlog has room.
+
+The store holds a count of waiting tokens for each customer and route. The
+transaction that accepts a job adds the job's tokens to the count, on condition
+of the count's revision, so VMs that accept jobs concurrently cannot exceed the
+bound together. The count is not reduced as items end: it is an upper bound,
+and a VM recomputes it from the open jobs only if it is unknown or a job does
+not fit.
 """
 
 import hashlib
@@ -28,27 +29,33 @@
 
 _events = eventlog.Events("jobs")
 
-_READ_S = 1.0
-# Each conflict means that another VM's job came first.
+_READ_TIMEOUT_S = 1.0
+# Each conflict means that another job was counted first.
 _MAX_TRIES = 12
-_MAX_PAUSE_S = 0.03
-_MAX_REMEMBERED = 10_000
+_MAX_RETRY_PAUSE_S = 0.03
+_MAX_CACHED_COUNTS = 10_000
 
 
 class Change(NamedTuple):
-    """The change that accepts a job; `expected` fails if it is there."""
+    """The store transaction that accepts a job.
+
+    Attributes:
+        meta: The job.
+        expected: The condition that the job does not exist yet.
+        writes: The entries that make up the job.
+    """
 
     meta: jobrecords.JobMeta
     expected: dialect_lib.Expected
     writes: tuple[dialect_lib.Write, ...]
 
 
-class _Counted(NamedTuple):
-    """A count as the store had it; revision 0 if it had none.
+class _Count(NamedTuple):
+    """The count of a backlog as last read from or written to the store.
 
     Attributes:
-        tokens: At most so many wait; `None` if that is not known.
-        revision: Of the count.
+        tokens: Upper bound of the waiting tokens; `None` if unknown.
+        revision: The revision of the count in the store; 0 if it has none.
     """
 
     tokens: int | None
@@ -56,14 +63,14 @@
 
 
 def name(customer: str, route: records.Route) -> str:
-    """Returns what a customer's backlog on a route is called in the store."""
+    """Returns the name of a customer's backlog on a route in the store."""
     which = route.name or f"{route.host}{route.prefix}"
-    # Keys are short, and names may be long.
+    # Hashed because keys are short and names may be long.
     return hashlib.sha256(f"{customer}\n{which}".encode()).hexdigest()[:32]
 
 
 class Backlogs:
-    """Keeps each customer's waiting tokens on a route within the bound."""
+    """Keeps the waiting tokens of each customer and route within a bound."""
 
     def __init__(
         self,
@@ -75,129 +82,147 @@
         self._book = book
         self._listing = listing
         self._lock = threading.Lock()
-        self._counted: dict[str, _Counted] = {}
+        self._cached_counts: dict[str, _Count] = {}
 
     def accept(
         self, change: Change, demand: backlog.Demand
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
-        """Makes the change that accepts a job, if it fits.
+        """Commits the change that accepts a job, if the job fits.
+
+        Args:
+            change: The change.
+            demand: The job's tokens and the bound; a bound of 0 means none.
 
         Returns:
-            As `JobBook.commit`; a conflict means that the job is there.
+            As `JobBook.commit`; a conflict means that the job already exists.
+            The error `no_room` means that the job does not fit.
         """
         key = self._book.keys.backlog(change.meta.backlog)
         if not demand.bound:
-            # Whoever finds a bound later has to add up what waits.
+            # An unknown count makes VMs add up the open jobs once a bound is
+            # set.
             value = jobrecords.pack(jobrecords.Backlog(None))
             uncounted = dialect_lib.Write(key, value)
             return self._book.commit(
                 (change.expected,), (*change.writes, uncounted), ()
             )
         for _ in range(_MAX_TRIES):
-            room = self._room(change.meta.backlog, demand)
-            if isinstance(room, result.Err):
-                return room
-            counted = room.ok_value
-            tokens = (counted.tokens or 0) + demand.tokens
-            made = self._commit(change, key, counted._replace(tokens=tokens))
+            found = self._find_count(change.meta.backlog, demand)
+            if isinstance(found, result.Err):
+                return found
+            backlog_count = found.ok_value
+            tokens = (backlog_count.tokens or 0) + demand.tokens
+            made = self._commit(
+                change, key, backlog_count._replace(tokens=tokens)
+            )
             if isinstance(made, result.Err):
-                self._forget(key)
+                self._discard_cached_count(key)
                 return made
             if isinstance(made.ok_value, int):
-                self._learn(key, _Counted(tokens, made.ok_value))
+                self._cache_count(key, _Count(tokens, made.ok_value))
                 return made
-            if _is_there(made.ok_value, change.expected.key):
+            if _has_entry(made.ok_value, change.expected.key):
                 return made
-            self._learn(key, _read(_find(made.ok_value, key)))
-            time.sleep(random.uniform(0.0, _MAX_PAUSE_S))
+            self._cache_count(
+                key, _unpack_count(_find_entry(made.ok_value, key))
+            )
+            time.sleep(random.uniform(0.0, _MAX_RETRY_PAUSE_S))
         return result.Err(
             jobmessages.JobError("unavailable", "too many jobs at once")
         )
 
     def _commit(
-        self, change: Change, key: str, counted: _Counted
+        self, change: Change, key: str, backlog_count: _Count
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
-        value = jobrecords.pack(jobrecords.Backlog(counted.tokens or 0))
+        value = jobrecords.pack(jobrecords.Backlog(backlog_count.tokens or 0))
         return self._book.commit(
-            (change.expected, dialect_lib.Expected(key, counted.revision)),
+            (
+                change.expected,
+                dialect_lib.Expected(key, backlog_count.revision),
+            ),
             (*change.writes, dialect_lib.Write(key, value)),
             (),
         )
 
-    def _room(
+    def _find_count(
         self, backlog_name: str, demand: backlog.Demand
-    ) -> result.Result[_Counted, jobmessages.JobError]:
-        """Returns the count that a job may be added to."""
-        held = self._remembered(backlog_name)
-        if held.tokens is not None and demand.fits(held.tokens):
-            return result.Ok(held)
-        # The count's revision is older than this listing: a job that came
-        # after the listing makes the change fail.
-        listed = paging.read_all(self._store, self._book.keys.open, _READ_S)
+    ) -> result.Result[_Count, jobmessages.JobError]:
+        """Returns a count that the job fits on top of, or `no_room`."""
+        latest = self._latest_count(backlog_name)
+        if latest.tokens is not None and demand.fits(latest.tokens):
+            return result.Ok(latest)
+        # The count's revision is older than this listing, so a job that is
+        # accepted after the listing makes the commit conflict.
+        listed = paging.read_all(
+            self._store, self._book.keys.open, _READ_TIMEOUT_S
+        )
         if listed.is_err():
             return jobbook.unavailable(listed.unwrap_err())
         rows = [
             row
-            for row in map(_opened, listed.unwrap().entries)
+            for row in map(_unpack_open_job, listed.unwrap().entries)
             if row is not None and row.backlog == backlog_name
         ]
         waiting = backlog.count(rows)
         if demand.fits(waiting):
-            return result.Ok(held._replace(tokens=waiting))
+            return result.Ok(latest._replace(tokens=waiting))
         now_ms = int(time.time() * 1000)
         return result.Err(
             jobmessages.JobError(
                 "no_room",
-                f"{waiting} tokens wait, {demand.tokens} more come to over "
-                f"{demand.bound}",
+                f"{waiting} tokens are waiting; {demand.tokens} more would "
+                f"exceed the limit of {demand.bound}",
                 backlog.retry_after_s(rows, demand, now_ms),
             )
         )
 
-    def _remembered(self, backlog_name: str) -> _Counted:
-        """Returns the newest count known here, without a call.
+    def _latest_count(self, backlog_name: str) -> _Count:
+        """Returns the newest count that this VM has, without a store call.
 
-        While the store is slow, a second call before the job's own would
-        make its acceptance late.
+        While the store is slow, a second call before the one that accepts the
+        job would delay the acceptance.
         """
         key = self._book.keys.backlog(backlog_name)
-        # A count that was never written misses no job.
-        counted = self._counted.get(key, _Counted(0, 0))
+        # Assumes that a count missing here does not exist yet; if it does, the
+        # commit conflicts and returns it.
+        backlog_count = self._cached_counts.get(key, _Count(0, 0))
         listed = self._listing.backlog(backlog_name)
-        if listed is None or listed.revision < counted.revision:
-            return counted
-        return _Counted(listed.backlog.tokens, listed.revision)
+        if listed is None or listed.revision < backlog_count.revision:
+            return backlog_count
+        return _Count(listed.backlog.tokens, listed.revision)
 
-    def _learn(self, key: str, counted: _Counted) -> None:
+    def _cache_count(self, key: str, backlog_count: _Count) -> None:
         with self._lock:
-            if len(self._counted) >= _MAX_REMEMBERED:
-                self._counted.clear()
-            self._counted[key] = counted
+            if len(self._cached_counts) >= _MAX_CACHED_COUNTS:
+                self._cached_counts.clear()
+            self._cached_counts[key] = backlog_count
 
-    def _forget(self, key: str) -> None:
+    def _discard_cached_count(self, key: str) -> None:
         with self._lock:
-            self._counted.pop(key, None)
+            self._cached_counts.pop(key, None)
 
 
-def _find(conflict: dialect_lib.Conflict, key: str) -> dialect_lib.Entry | None:
+def _find_entry(
+    conflict: dialect_lib.Conflict, key: str
+) -> dialect_lib.Entry | None:
     for entry in conflict.entries:
         if entry.key == key:
             return entry
     return None
 
 
-def _is_there(conflict: dialect_lib.Conflict, key: str) -> bool:
-    entry = _find(conflict, key)
+def _has_entry(conflict: dialect_lib.Conflict, key: str) -> bool:
+    entry = _find_entry(conflict, key)
     return entry is not None and entry.value is not None
 
 
-def _read(entry: dialect_lib.Entry | None) -> _Counted:
+def _unpack_count(entry: dialect_lib.Entry | None) -> _Count:
     if entry is None or entry.value is None:
-        return _Counted(0, 0)
-    return _Counted(jobrecords.backlog(entry.value).tokens, entry.revision)
+        return _Count(0, 0)
+    return _Count(jobrecords.backlog(entry.value).tokens, entry.revision)
 
 
-def _opened(entry: dialect_lib.Entry) -> jobrecords.OpenJob | None:
+def _unpack_open_job(entry: dialect_lib.Entry) -> jobrecords.OpenJob | None:
     if entry.value is None:
         return None
     try:
--- a/packages/gateway/gateway/progresswriter.py
+++ b/packages/gateway/gateway/progresswriter.py
@@ -1,4 +1,4 @@
-"""Writes to the store how far items came, for the VM that runs them next."""
+"""Writes the progress of items to the store, for the VM that resumes them."""
 
 import random
 import threading
@@ -14,17 +14,17 @@
 
 _events = eventlog.Events("runner")
 
-# What a VM that loses its power takes with it, of items of about five seconds.
-# Each write has the price of a call.
-_EVERY_S = 2.0
+# Progress that a VM loses with its power; an item takes about 5 s. Each write
+# costs one call to the store.
+_WRITE_INTERVAL_S = 2.0
 
 
 class ProgressWriter:
-    """Writes the progress of running items now and then, and at the end.
+    """Writes the progress of items periodically, and when a job is handed over.
 
-    The failure: all VMs are killed or lose their power with their engines full
-    of items. Without their output, which is in memory, each one begins anew,
-    just when all that waited comes as well.
+    The output of unfinished items is held in memory. If all VMs are killed or
+    lose power while their engines are full, every item would otherwise start
+    from the beginning, just when the backlog of waiting items arrives as well.
     """
 
     def __init__(
@@ -36,41 +36,48 @@
         self._book = book
         self._table = table
         self._value_bytes = value_bytes
-        # The events of each job when its progress was last written.
-        self._written: dict[str, int] = {}
+        # The number of events in the last progress written for each job.
+        self._written_events: dict[str, int] = {}
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begins to write."""
+        """Starts the thread that writes progress periodically."""
         threading.Thread(target=self._run, name="progress", daemon=True).start()
 
     def stop(self) -> None:
-        """Writes no more by itself."""
+        """Stops the periodic writes."""
         self._stopping.set()
 
     def hand_over(self, state: jobstate.JobState) -> bool:
-        """Writes a job's progress and gives its claim up."""
+        """Writes a job's progress and releases its claim.
+
+        Returns:
+            Whether the store answered; also true if the claim had changed, in
+            which case nothing was written.
+        """
         claim = self._book.keys.claim(state.meta.job)
         return self._write(state, (claim,)).is_ok()
 
     def _run(self) -> None:
-        while not self._stopping.wait(_EVERY_S * random.uniform(0.8, 1.2)):
+        while not self._stopping.wait(
+            _WRITE_INTERVAL_S * random.uniform(0.8, 1.2)
+        ):
             states = self._table.by_due_time()
-            self._written = {
-                state.meta.job: self._write_new(state)
+            self._written_events = {
+                state.meta.job: self._write_if_changed(state)
                 for state in states
                 if not self._stopping.is_set()
             }
 
-    def _write_new(self, state: jobstate.JobState) -> int:
-        """Writes what is new; returns how many events are written."""
-        before = self._written.get(state.meta.job, 0)
+    def _write_if_changed(self, state: jobstate.JobState) -> int:
+        """Writes new progress; returns the number of events last written."""
+        before = self._written_events.get(state.meta.job, 0)
         events = sum(len(item.output) for item in state.unlisted())
         if not events or events == before or state.is_dropped:
             return before
         try:
             made = self._write(state, ())
-        except Exception as error:  # noqa: BLE001 - other jobs are written.
+        except Exception as error:  # noqa: BLE001 - go on with other jobs.
             _events.warning(
                 "progress_failed", job=state.meta.job, why=repr(error)
             )
@@ -83,23 +90,23 @@
         keys, job = self._book.keys, state.meta.job
         expected = dialect_lib.Expected(keys.claim(job), state.claim.revision)
         rows = [item.progress() for item in state.unlisted()]
-        value = jobrecords.pack_progress(_bounded(rows, self._value_bytes))
+        value = jobrecords.pack_progress(_fit_rows(rows, self._value_bytes))
         write = dialect_lib.Write(keys.progress(job), value)
         return self._book.commit((expected,), (write,), deletes)
 
 
-def _bounded(
-    rows: list[jobrecords.Progress], most_bytes: int
+def _fit_rows(
+    rows: list[jobrecords.Progress], max_bytes: int
 ) -> tuple[jobrecords.Progress, ...]:
-    """Returns the rows that fit one value, those that came furthest first."""
+    """Returns the rows that fit into one value, most output first."""
     kept = []
-    for row in sorted(rows, key=_size, reverse=True):
-        most_bytes -= _size(row)
-        if most_bytes > 0:
+    for row in sorted(rows, key=_estimate_bytes, reverse=True):
+        max_bytes -= _estimate_bytes(row)
+        if max_bytes > 0:
             kept.append(row)
     return tuple(kept)
 
 
-def _size(row: jobrecords.Progress) -> int:
-    # Each text has a few bytes around it.
+def _estimate_bytes(row: jobrecords.Progress) -> int:
+    # 4 bytes for the encoding of each text, 100 for the other fields.
     return sum(len(text.encode()) + 4 for text in row.output) + 100
--- a/packages/gateway/gateway/retirements.py
+++ b/packages/gateway/gateway/retirements.py
@@ -1,4 +1,8 @@
-"""Tells the operators that a VM with a disk may go: nothing lies on one."""
+"""Confirms to operators that a VM may be removed.
+
+This system stores nothing on the disks of VMs, so there is nothing to move
+away first and every request is confirmed at once.
+"""
 
 import queue
 import random
@@ -13,51 +17,54 @@
 
 _events = eventlog.Events("retirements")
 
-_CALL_S = 1.0
-_TRIES = 20
-_PAUSE_S = 0.5
+_CALL_TIMEOUT_S = 1.0
+_MAX_TRIES = 20
+_MAX_RETRY_PAUSE_S = 0.5
 
 
 class Retirements:
-    """Answers each request at any VM; the answer is the same at all."""
+    """Confirms each request to retire a VM.
+
+    Every VM answers every request; all of them write the same value.
+    """
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
-        self._asked: queue.SimpleQueue[str | None] = queue.SimpleQueue()
-        self._answered: set[str] = set()
+        self._requests: queue.SimpleQueue[str | None] = queue.SimpleQueue()
+        self._confirmed: set[str] = set()
 
     def start(self) -> None:
-        """Begins to answer."""
+        """Starts the thread that answers requests."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
         feed = find(names.CONFIGURATION, configuration.Feed)
-        feed.on_retire(self._asked.put)
+        feed.on_retire(self._requests.put)
         threading.Thread(
             target=self._run, name="retirements", daemon=True
         ).start()
 
     def stop(self, grace_s: float) -> None:
-        """Ends the thread."""
+        """Ends the thread once it has handled the requests in its queue."""
         del grace_s
-        self._asked.put(None)
+        self._requests.put(None)
 
     def dump(self) -> Any:
-        """Returns what was answered."""
-        return sorted(self._answered)
+        """Returns the VMs whose retirement was confirmed."""
+        return sorted(self._confirmed)
 
     def _run(self) -> None:
         pause = threading.Event()
-        while (vm := self._asked.get()) is not None:
-            for _ in range(_TRIES):
-                if vm in self._answered or self._answer(vm):
-                    self._answered.add(vm)
+        while (vm := self._requests.get()) is not None:
+            for _ in range(_MAX_TRIES):
+                if vm in self._confirmed or self._confirm(vm):
+                    self._confirmed.add(vm)
                     break
-                pause.wait(_PAUSE_S * random.uniform(0.5, 1.0))
+                pause.wait(_MAX_RETRY_PAUSE_S * random.uniform(0.5, 1.0))
 
-    def _answer(self, vm: str) -> bool:
+    def _confirm(self, vm: str) -> bool:
         write = self._dialect.retire_status(vm)
-        got = self._store.get(write.key, _CALL_S)
+        got = self._store.get(write.key, _CALL_TIMEOUT_S)
         if got.is_err():
             return False
         entry = got.unwrap()
@@ -65,7 +72,10 @@
             return True
         revision = 0 if entry is None else entry.revision
         made = self._store.commit(
-            (dialect_lib.Expected(write.key, revision),), (write,), (), _CALL_S
+            (dialect_lib.Expected(write.key, revision),),
+            (write,),
+            (),
+            _CALL_TIMEOUT_S,
         )
         _events.info("answered", retired=vm, ok=made.is_ok())
         return made.is_ok()
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Scenes of whole gateways."""
+"""Fixtures for tests that run whole gateways."""
 
 from collections.abc import Iterator
 import logging
@@ -10,13 +10,13 @@
 
 @pytest.fixture
 def scene() -> Iterator[gatewayscene.Scene]:
-    made = gatewayscene.Scene()
-    yield made
-    made.close()
+    created = gatewayscene.Scene()
+    yield created
+    created.close()
 
 
-def _with_fields(record: logging.LogRecord) -> bool:
-    """Lets what pytest prints of a failing test tell what decided."""
+def _append_fields(record: logging.LogRecord) -> bool:
+    """Adds the event fields to the log that pytest prints on a failure."""
     record.msg = f"{record.msg} {getattr(record, 'fields', {})}"
     return True
 
@@ -25,6 +25,6 @@
 def events_with_fields(request: pytest.FixtureRequest) -> Iterator[None]:
     logger = logging.getLogger("bulrushdeal.events")
     if "scene" in request.fixturenames:
-        logger.addFilter(_with_fields)
+        logger.addFilter(_append_fields)
     yield
-    logger.removeFilter(_with_fields)
+    logger.removeFilter(_append_fields)
--- a/tests/gateway/test_backlogs.py
+++ b/tests/gateway/test_backlogs.py
@@ -1,4 +1,4 @@
-"""The bound on a customer's waiting batch tokens, over several VMs."""
+"""Tests the bound on a customer's waiting batch tokens over several VMs."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -29,7 +29,7 @@
 
 
 class _RacingClient(gatewaystore.StoreClient):
-    """A VM's store; something may happen just before its next change."""
+    """A VM's store client that can run a callback before its next commit."""
 
     def __init__(self, store: gatewaystore.MemoryStore) -> None:
         super().__init__(store)
@@ -49,7 +49,7 @@
 
 
 class _Vm:
-    """What one VM knows of the backlogs."""
+    """The parts of one VM that track the backlogs."""
 
     def __init__(self, store: gatewaystore.MemoryStore) -> None:
         self.client = _RacingClient(store)
@@ -82,7 +82,7 @@
         return self._backlogs.accept(change, backlog.Demand(tokens, bound))
 
 
-def _waiting(store: gatewaystore.MemoryStore) -> int:
+def _waiting_tokens(store: gatewaystore.MemoryStore) -> int:
     return sum(
         jobrecords.unpack(jobrecords.OpenJob, row.value or b"").tokens
         for key, row in store.rows.items()
@@ -94,12 +94,12 @@
     return isinstance(made, result.Ok) and isinstance(made.ok_value, int)
 
 
-def _kind(made: Any) -> str:
+def _error_kind(made: Any) -> str:
     return made.err_value.kind if isinstance(made, result.Err) else ""
 
 
 class BacklogMachine(stateful.RuleBasedStateMachine):
-    """Several VMs accept jobs against what the store has waiting."""
+    """Several VMs accept jobs; the waiting tokens in the store are checked."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -115,9 +115,9 @@
         self.jobs += 1
         made = self.vms[vm].accept(f"j{self.jobs}", tokens, self.bound)
         if _is_accepted(made):
-            assert not self.bound or _waiting(self.store) <= self.bound
-        elif _kind(made) == "no_room":
-            assert _waiting(self.store) + tokens > self.bound
+            assert not self.bound or _waiting_tokens(self.store) <= self.bound
+        elif _error_kind(made) == "no_room":
+            assert _waiting_tokens(self.store) + tokens > self.bound
 
     @stateful.rule(vm=vm_numbers, tokens=sizes)
     def submit(self, vm: int, tokens: int) -> None:
@@ -149,8 +149,8 @@
         self.vms[vm].client.is_down = True
         self.jobs += 1
         made = self.vms[vm].accept(f"j{self.jobs}", tokens, self.bound)
-        # A VM that knows of a count with no room may not refuse by it alone.
-        assert _kind(made) == "unavailable"
+        # A VM must not refuse a job by its cached count alone.
+        assert _error_kind(made) == "unavailable"
         self.vms[vm].client.is_down = False
 
     @stateful.rule(left=strategies.integers(0, 30))
@@ -187,31 +187,33 @@
 TestBacklogMachine = BacklogMachine.TestCase
 
 
-def test_two_vms_do_not_pass_the_bound_together() -> None:
-    """Both find room for a job, and the second change comes after."""
+def test_two_vms_do_not_exceed_the_bound_together() -> None:
+    """Both VMs find that a job fits, and commit one after the other."""
     store = gatewaystore.MemoryStore()
     first, second = _Vm(store), _Vm(store)
     assert _is_accepted(first.accept("j1", 10))
-    first.client.before_commit = lambda: _ignore(second.accept("j2", 60))
-    assert _kind(first.accept("j3", 60)) == "no_room"
-    assert _waiting(store) == 70
+    first.client.before_commit = lambda: _expect_accepted(
+        second.accept("j2", 60)
+    )
+    assert _error_kind(first.accept("j3", 60)) == "no_room"
+    assert _waiting_tokens(store) == 70
 
 
-def _ignore(made: Any) -> None:
+def _expect_accepted(made: Any) -> None:
     assert _is_accepted(made)
 
 
-def test_a_bound_that_comes_back_counts_what_came_without_it() -> None:
-    """Jobs accepted while there was no bound are in no count."""
+def test_a_restored_bound_counts_jobs_accepted_without_it() -> None:
+    """Jobs accepted while there was no bound are missing from the count."""
     store = gatewaystore.MemoryStore()
     vm = _Vm(store)
     assert _is_accepted(vm.accept("j1", 10))
     assert _is_accepted(vm.accept("j2", 80, bound=0))
-    assert _kind(vm.accept("j3", 60)) == "no_room"
+    assert _error_kind(vm.accept("j3", 60)) == "no_room"
 
 
-def test_a_job_that_fits_needs_one_change_to_the_store() -> None:
-    """While the store is slow, a second call makes a job's acceptance late."""
+def test_a_job_that_fits_needs_one_store_call() -> None:
+    """While the store is slow, a second call delays the acceptance."""
     store = gatewaystore.MemoryStore()
     vm, other = _Vm(store), _Vm(store)
     assert _is_accepted(vm.accept("j1", 10))
@@ -222,20 +224,20 @@
     assert other.client.calls == ["commit"]
 
 
-def test_who_finds_no_room_is_told_when_enough_will_have_ended() -> None:
+def test_retry_after_is_when_enough_tokens_will_have_ended() -> None:
     opened = [jobrecords.OpenJob(10_000, "b", 80)]
-    # 80 tokens in ten seconds; 30 of them have to end first.
+    # 80 tokens end within 10 s, and 30 of them must end first.
     demand = backlog.Demand(50, _BOUND)
     assert backlog.retry_after_s(opened, demand, 0) == 30 / 8
 
 
-def test_who_never_fits_is_not_told_to_come_back() -> None:
+def test_a_job_over_the_bound_gets_no_retry_after() -> None:
     opened = [jobrecords.OpenJob(10_000, "b", 80)]
     demand = backlog.Demand(_BOUND + 1, _BOUND)
     assert backlog.retry_after_s(opened, demand, 0) == 0.0
 
 
-# Over whole gateways.
+# Tests with whole gateways.
 
 
 def _items(count: int, stem: str, tokens: int = 10) -> list[dict[str, Any]]:
@@ -251,7 +253,9 @@
     ]
 
 
-def _bound(scene: gatewayscene.Scene, bound: int, version: int = 2) -> None:
+def _configure_bound(
+    scene: gatewayscene.Scene, bound: int, version: int = 2
+) -> None:
     value = gatewayscene.configuration(version)
     for row in value["routes"]:
         if row["kind"] == "batch":
@@ -260,16 +264,16 @@
 
 
 def _busy_scene(scene: gatewayscene.Scene, bound: int) -> gatewayscene.Vm:
-    """Returns a VM before an engine that ends nothing for a while."""
+    """Returns a VM whose only engine takes at least 10 s per item."""
     scene.add_engine(events=200).pause_s = 0.05
-    _bound(scene, bound)
+    _configure_bound(scene, bound)
     return scene.add_vm()
 
 
 def test_a_job_beyond_the_bound_is_refused_until_one_is_ended(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A flood of batch jobs of one customer."""
+    """One customer submits more batch jobs than the bound allows."""
     vm = _busy_scene(scene, 100)
     assert vm.submit("j1", _items(6, "a")).status == 202
     refused = vm.submit("j2", _items(6, "b"))
@@ -283,28 +287,28 @@
 def test_a_repeat_of_an_accepted_job_is_accepted_when_nothing_fits(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The 202 is lost and the job comes again, at a VM that finds no room."""
+    """The 202 is lost, and the caller retries at a VM that has no room."""
     vm = _busy_scene(scene, 100)
     other = scene.add_vm("vm2", "d2")
     assert vm.submit("j1", _items(6, "a")).status == 202
     assert other.submit("j1", _items(6, "a")).status == 202
 
 
-def test_items_that_ended_make_room_before_their_job_has(
+def test_ended_items_make_room_before_their_job_ends(
     scene: gatewayscene.Scene,
 ) -> None:
     engine = scene.add_engine(events=2000)
     engine.pause_s = 0.05
     engine.faults = [gatewayengine.Fault("never")] * 3
-    _bound(scene, 100)
+    _configure_bound(scene, 100)
     vm = scene.add_vm()
     assert vm.submit("j1", _items(6, "a")).status == 202
     gatewayscene.until(lambda: vm.submit("j2", _items(6, "b")).status == 202)
 
 
-def test_jobs_that_ended_make_room(scene: gatewayscene.Scene) -> None:
+def test_ended_jobs_make_room(scene: gatewayscene.Scene) -> None:
     scene.add_engine()
-    _bound(scene, 100)
+    _configure_bound(scene, 100)
     vm = scene.add_vm()
     for number in range(4):
         job = f"j{number}"
@@ -323,14 +327,14 @@
 ) -> None:
     vm = _busy_scene(scene, 100)
     assert vm.submit("j1", _items(6, "a")).status == 202
-    _bound(scene, 30, version=3)
+    _configure_bound(scene, 30, version=3)
     feed = vm.kernel.find(names.CONFIGURATION, configuration.Feed)
     gatewayscene.until(lambda: _version(feed) == 3)
     assert vm.submit("j2", _items(1, "b")).status == 429
     assert vm.results("j1").json()["total"] == 6
 
 
-def test_jobs_at_many_vms_at_once_keep_the_bound(
+def test_concurrent_jobs_at_several_vms_keep_the_bound(
     scene: gatewayscene.Scene,
 ) -> None:
     vms = [_busy_scene(scene, 100), scene.add_vm("vm2", "d2")]
@@ -345,7 +349,7 @@
     assert sorted(statuses) == [202, 202, 202, 429, 429, 429]
 
 
-def test_a_vm_that_the_store_turns_away_keeps_the_bound(
+def test_a_vm_whose_store_calls_are_refused_keeps_the_bound(
     scene: gatewayscene.Scene,
 ) -> None:
     first = _busy_scene(scene, 100)
