--- a/packages/core/bulrushdeal/__init__.py
+++ b/packages/core/bulrushdeal/__init__.py
@@ -1,1 +1,1 @@
-"""Kernel, settings, codec and shared types of bulrushdeal."""
+"""The kernel, settings, codec and shared types of bulrushdeal."""
--- a/packages/core/bulrushdeal/clock.py
+++ b/packages/core/bulrushdeal/clock.py
@@ -1,24 +1,24 @@
-"""Clocks, so that tests can move time by hand."""
+"""Clocks, which tests replace by one that they control."""
 
 import time
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """Tells the time and sleeps."""
+    """A source of time that can also sleep."""
 
     def monotonic_s(self) -> float:
-        """Returns seconds that never run backwards, for intervals."""
+        """Returns a time in seconds that never decreases, for intervals."""
 
     def wall_s(self) -> float:
-        """Returns seconds since the epoch, for records that people read."""
+        """Returns seconds since the Unix epoch, for records and logs."""
 
     def sleep_s(self, duration_s: float) -> None:
         """Blocks the calling thread for `duration_s` seconds."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The system clock."""
 
     def monotonic_s(self) -> float:
         """See `Clock`."""
@@ -34,7 +34,11 @@
 
 
 class FakeClock:
-    """A clock that stands still until it is moved."""
+    """A clock for tests that advances only by `sleep_s` or by hand.
+
+    Attributes:
+        now_s: The current time in seconds, which a test may set.
+    """
 
     def __init__(self, start_s: float = 1000.0) -> None:
         self.now_s = start_s
@@ -48,5 +52,5 @@
         return self.now_s
 
     def sleep_s(self, duration_s: float) -> None:
-        """Moves the clock instead of blocking."""
+        """Advances the clock without blocking."""
         self.now_s += duration_s
--- a/packages/core/bulrushdeal/codec.py
+++ b/packages/core/bulrushdeal/codec.py
@@ -1,10 +1,11 @@
-"""Turns typed messages into CBOR or JSON-ready values, and back.
+"""Encodes typed messages as CBOR or JSON-ready values and decodes them.
 
 A message is a `NamedTuple` whose fields are scalars, bytes, `None`, other
 messages, tuples of these, or mappings from strings to these. In CBOR a
-message is an array of its fields, so names cost nothing on the wire; a
-field added at the end with a default is understood by older and newer
-processes alike. In JSON a message is an object.
+message is an array of its fields, so field names take no bytes on the wire.
+A field added at the end with a default keeps old and new processes
+compatible: a missing field gets its default and an extra one is ignored. In
+JSON a message is an object.
 """
 
 import collections.abc
@@ -19,29 +20,30 @@
 
 
 class CodecError(Exception):
-    """The bytes or values do not have the shape that the message asks."""
+    """The bytes or values do not match the fields of the message type."""
 
 
-class _WrongError(Exception):
-    """A value has another shape; knows the way to it from the message.
+class _MismatchError(Exception):
+    """A value does not match its type hint.
 
     Attributes:
-        where: The fields and indices on the way.
-        problem: What is wrong there.
+        path: The fields and indices that lead to the value, such as
+            `.rows[0].name`.
+        problem: What is wrong with the value.
     """
 
-    def __init__(self, where: str, problem: str) -> None:
-        super().__init__(where, problem)
-        self.where = where
+    def __init__(self, path: str, problem: str) -> None:
+        super().__init__(path, problem)
+        self.path = path
         self.problem = problem
 
-    def inside(self, outer: str) -> "_WrongError":
-        """Returns the same as seen from further out."""
-        return _WrongError(outer + self.where, self.problem)
+    def prefixed(self, prefix: str) -> "_MismatchError":
+        """Returns the same error with a field or index before its path."""
+        return _MismatchError(prefix + self.path, self.problem)
 
 
 class Message(Protocol):
-    """Any `NamedTuple`."""
+    """The type of any `NamedTuple` instance."""
 
     _fields: typing.ClassVar[tuple[str, ...]]
     _field_defaults: typing.ClassVar[dict[str, Any]]
@@ -56,8 +58,8 @@
 
 def to_array(value: Any) -> Any:
     """Returns `value` with each message in it turned into an array."""
-    # Most items are scalars: a call for each, or a test for an abstract
-    # type, takes far longer than to look at their types here.
+    # Most items are scalars. Checking their type here is much faster than a
+    # call for each of them or an `isinstance` check on an abstract class.
     if isinstance(value, (tuple, list)):
         return [
             item if type(item) in _SCALARS else to_array(item) for item in value
@@ -83,22 +85,23 @@
 
     Args:
         kind: A `NamedTuple` class.
-        value: What `to_array` or `to_object` gave, perhaps after a journey.
+        value: A result of `to_array` or `to_object`, possibly decoded from
+            CBOR or JSON.
 
     Raises:
-        CodecError: A field is missing or has another type.
+        CodecError: A field is missing or has the wrong type.
     """
     try:
         return typing.cast(M, _builder(typing.cast(Any, kind))(value))
-    except _WrongError as wrong:
+    except _MismatchError as mismatch:
         raise CodecError(
-            f"{kind.__name__}{wrong.where}: {wrong.problem}"
+            f"{kind.__name__}{mismatch.path}: {mismatch.problem}"
         ) from None
 
 
 @functools.cache
 def _builder(hint: Any) -> _Builder:
-    """Returns what builds values of a type, worked out once for each type."""
+    """Returns the function that checks and builds values of a type hint."""
     if hint is Any or hint is object:
         return lambda value: value
     if isinstance(hint, type) and hasattr(hint, "_fields"):
@@ -124,7 +127,7 @@
     def build(value: Any) -> Any:
         if type(value) is kind:
             return value
-        raise _WrongError("", f"expected {getattr(kind, '__name__', kind)}")
+        raise _MismatchError("", f"expected {getattr(kind, '__name__', kind)}")
 
     return build
 
@@ -134,14 +137,14 @@
         return value
     if type(value) is int:
         return float(value)
-    raise _WrongError("", "expected float")
+    raise _MismatchError("", "expected float")
 
 
 def _literal_builder(choices: tuple[Any, ...]) -> _Builder:
     def build(value: Any) -> Any:
         if value in choices:
             return value
-        raise _WrongError("", f"{value!r} is not allowed")
+        raise _MismatchError("", f"{value!r} is not allowed")
 
     return build
 
@@ -150,21 +153,21 @@
     names: tuple[str, ...] = kind._fields
     hints = typing.get_type_hints(kind)
     builders = tuple(_builder(hints[name]) for name in names)
-    least = len(names) - len(kind._field_defaults)
+    required_count = len(names) - len(kind._field_defaults)
 
     def build(value: Any) -> Any:
         if not isinstance(value, (list, tuple)):
             if isinstance(value, collections.abc.Mapping):
                 return _build_named(kind, builders, value)
-            raise _WrongError("", f"expected {kind.__name__}")
-        if len(value) < least:
-            raise _WrongError(f".{names[len(value)]}", "missing")
+            raise _MismatchError("", f"expected {kind.__name__}")
+        if len(value) < required_count:
+            raise _MismatchError(f".{names[len(value)]}", "missing")
         built: list[Any] = []
         try:
             for builder, item in zip(builders, value, strict=False):
                 built.append(builder(item))
-        except _WrongError as wrong:
-            raise wrong.inside(f".{names[len(built)]}") from None
+        except _MismatchError as mismatch:
+            raise mismatch.prefixed(f".{names[len(built)]}") from None
         return kind(*built)
 
     return build
@@ -175,12 +178,12 @@
     for name, builder in zip(kind._fields, builders, strict=True):
         if name not in value:
             if name not in kind._field_defaults:
-                raise _WrongError(f".{name}", "missing")
+                raise _MismatchError(f".{name}", "missing")
             continue
         try:
             built[name] = builder(value[name])
-        except _WrongError as wrong:
-            raise wrong.inside(f".{name}") from None
+        except _MismatchError as mismatch:
+            raise mismatch.prefixed(f".{name}") from None
     return kind(**built)
 
 
@@ -193,12 +196,12 @@
     def build(value: Any) -> Any:
         if value is None and has_none:
             return None
-        problem = _WrongError("", "no choice fits")
+        problem = _MismatchError("", "no choice fits")
         for builder in builders:
             try:
                 return builder(value)
-            except _WrongError as wrong:
-                problem = wrong
+            except _MismatchError as mismatch:
+                problem = mismatch
         raise problem
 
     return build
@@ -207,7 +210,7 @@
 def _array_builder(builder: _Builder) -> _Builder:
     def build(value: Any) -> Any:
         if not isinstance(value, (list, tuple)):
-            raise _WrongError("", "expected an array")
+            raise _MismatchError("", "expected an array")
         return tuple(_build_items(itertools.repeat(builder), value))
 
     return build
@@ -216,9 +219,9 @@
 def _tuple_builder(builders: tuple[_Builder, ...]) -> _Builder:
     def build(value: Any) -> Any:
         if not isinstance(value, (list, tuple)):
-            raise _WrongError("", "expected an array")
+            raise _MismatchError("", "expected an array")
         if len(value) != len(builders):
-            raise _WrongError("", f"expected {len(builders)} items")
+            raise _MismatchError("", f"expected {len(builders)} items")
         return tuple(_build_items(builders, value))
 
     return build
@@ -229,48 +232,49 @@
     try:
         for builder, item in zip(builders, value, strict=False):
             built.append(builder(item))
-    except _WrongError as wrong:
-        raise wrong.inside(f"[{len(built)}]") from None
+    except _MismatchError as mismatch:
+        raise mismatch.prefixed(f"[{len(built)}]") from None
     return built
 
 
 def _mapping_builder(build_name: _Builder, build_item: _Builder) -> _Builder:
     def build(value: Any) -> Any:
         if not isinstance(value, collections.abc.Mapping):
-            raise _WrongError("", "expected an object")
+            raise _MismatchError("", "expected an object")
         built: dict[Any, Any] = {}
         for name, item in value.items():
             key = build_name(name)
             try:
                 built[key] = build_item(item)
-            except _WrongError as wrong:
-                raise wrong.inside(f".{name}") from None
+            except _MismatchError as mismatch:
+                raise mismatch.prefixed(f".{name}") from None
         return built
 
     return build
 
 
 def pack(message: Any) -> bytes:
-    """Returns one message as CBOR: its type's name and its fields."""
+    """Returns a message as CBOR: an array of its class name and its fields."""
     return cbor2.dumps([type(message).__name__, to_array(message)])
 
 
 class Registry:
-    """Knows the message types that may arrive, by name."""
+    """Holds the message types that can be unpacked, by class name."""
 
     def __init__(self) -> None:
         self._kinds: dict[str, type] = {}
 
     def add(self, *kinds: type) -> None:
-        """Lets messages of these `NamedTuple` types be unpacked."""
+        """Registers `NamedTuple` classes whose messages may be unpacked."""
         for kind in kinds:
             self._kinds[kind.__name__] = kind
 
     def unpack(self, data: bytes) -> Any:
-        """Returns the message in `data`.
+        """Decodes one packed message.
 
         Raises:
-            CodecError: Not CBOR, an unknown type, or a wrong field.
+            CodecError: The data is not valid CBOR, the message type is not
+                registered, or a field does not match.
         """
         try:
             name, fields = cbor2.loads(data)
--- a/packages/core/bulrushdeal/errors.py
+++ b/packages/core/bulrushdeal/errors.py
@@ -1,5 +1,5 @@
-"""The one error type whose message is shown to a user as it stands."""
+"""The error type whose message is shown to users unchanged."""
 
 
 class UserError(Exception):
-    """A mistake of the user's, shown in one line and without a traceback."""
+    """An error made by the user, shown in one line without a traceback."""
--- a/packages/core/bulrushdeal/eventlog.py
+++ b/packages/core/bulrushdeal/eventlog.py
@@ -1,7 +1,8 @@
-"""Structured log lines: one JSON object a line, bounded, never blocking.
+"""A structured event log that writes one JSON object per line.
 
-`logging` of the standard library carries the records from any thread to one
-that writes. The formatter is ours because its fields are plain already.
+Any thread logs through `logging` of the standard library; a bounded queue
+passes the records to a single writer thread, so logging never blocks. The
+formatter is simple because all fields are plain values.
 """
 
 import collections
@@ -14,22 +15,22 @@
 import time
 from typing import Any, TextIO
 
-# A few seconds of lines at a busy VM's rate; some 2 MB.
-_MAX_QUEUED = 4000
-# Plain good ends a second that are written in full; the others are counted.
-GOOD_ENDS_PER_S = 20.0
+# A few seconds of lines at the rate of a busy VM; about 2 MB.
+_MAX_QUEUED_LINES = 4000
+# Successes per second that are written; the others are only counted.
+_MAX_SUCCESSES_PER_S = 20.0
 _LOGGER = "bulrushdeal.events"
-# Of this process, by event, from its start on.
-_lost: collections.Counter[str] = collections.Counter()
+# Lines lost by this process since its start, by event.
+_lost_lines: collections.Counter[str] = collections.Counter()
 
 
 def lost() -> Mapping[str, int]:
-    """Returns how many lines found no room, by event, since the start."""
-    return dict(_lost)
+    """Returns the lines dropped since the process started, by event."""
+    return dict(_lost_lines)
 
 
-class _Queue(logging.handlers.QueueHandler):
-    """Drops and counts what finds no room, so that no request waits."""
+class _DroppingQueueHandler(logging.handlers.QueueHandler):
+    """Drops and counts lines if the queue is full, so that no request waits."""
 
     def __init__(self, lines: "queue.Queue[logging.LogRecord]") -> None:
         super().__init__(lines)
@@ -37,7 +38,7 @@
         self._dropped: dict[str, int] = {}
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queues a line together with the count of those lost before it."""
+        """Queues a line and adds the counts of lines dropped before it."""
         with self._lock:
             dropped = dict(self._dropped)
             if dropped:
@@ -48,22 +49,22 @@
             except queue.Full:
                 count = self._dropped.get(record.msg, 0)
                 self._dropped[record.msg] = count + 1
-                _lost[record.msg] += 1
+                _lost_lines[record.msg] += 1
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leaves the record as it is: its fields are plain values."""
+        """Returns the record unchanged, as its fields are plain values."""
         return record
 
 
-class _Json(logging.Formatter):
-    """Writes a record as one JSON object."""
+class _JsonFormatter(logging.Formatter):
+    """Formats a record as one JSON object."""
 
     def __init__(self, vm: str) -> None:
         super().__init__()
         self._vm = vm
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the line."""
+        """Returns the record as one line of JSON."""
         row: dict[str, Any] = {
             "time_s": round(record.created, 3),
             "vm": self._vm,
@@ -76,22 +77,33 @@
 
 
 class Sampler:
-    """Lets some lines a second through and counts the others."""
+    """Limits the rate of log lines and counts those that are left out.
+
+    It is a token bucket that holds up to one second's worth of lines.
+
+    Args:
+        per_s: The lines let through per second.
+    """
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
         self._lock = threading.Lock()
         self._tokens = per_s
-        self._filled_s = time.monotonic()
+        self._refilled_s = time.monotonic()
         self._skipped = 0
 
     def take(self) -> int | None:
-        """Returns how many were left out before; `None` leaves this out."""
+        """Decides whether to write the current line.
+
+        Returns:
+            The number of lines left out since the last one written, or `None`
+            if the current line is to be left out too.
+        """
         now_s = time.monotonic()
         with self._lock:
-            refill = (now_s - self._filled_s) * self._per_s
+            refill = (now_s - self._refilled_s) * self._per_s
             self._tokens = min(self._per_s, self._tokens + refill)
-            self._filled_s = now_s
+            self._refilled_s = now_s
             if self._tokens < 1.0:
                 self._skipped += 1
                 return None
@@ -101,24 +113,28 @@
 
 
 class Events:
-    """Writes the events of one part of the product."""
+    """Writes the events of one component.
+
+    Args:
+        part: The component's name, written with each event.
+    """
 
     def __init__(self, part: str) -> None:
         self._part = part
         self._logger = logging.getLogger(_LOGGER)
-        self._good_ends = Sampler(GOOD_ENDS_PER_S)
+        self._success_sampler = Sampler(_MAX_SUCCESSES_PER_S)
 
     def info(self, event: str, **fields: Any) -> None:
-        """Tells a decision or a change of what is believed."""
+        """Logs a decision or a change of state."""
         self._emit(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Tells what the system copes with but people should know."""
+        """Logs a problem that the system handles but operators should see."""
         self._emit(logging.WARNING, event, fields)
 
     def good_end(self, event: str, **fields: Any) -> None:
-        """Tells a plain good end, sampled under load."""
-        skipped = self._good_ends.take()
+        """Logs a routine success; the rate of these lines is limited."""
+        skipped = self._success_sampler.take()
         if skipped is None:
             return
         if skipped:
@@ -129,7 +145,7 @@
         if not self._logger.isEnabledFor(level):
             return
         extra = {"part": self._part, "fields": fields}
-        # Made by hand: the library's way looks through the whole stack.
+        # `Logger.info` would search the call stack for the caller's line.
         record = self._logger.makeRecord(
             _LOGGER, level, "", 0, event, (), None, extra=extra
         )
@@ -137,18 +153,22 @@
 
 
 def configure(vm: str, stream: TextIO) -> logging.handlers.QueueListener:
-    """Writes events to a stream from a thread of its own.
+    """Starts a thread that writes all events to a stream.
+
+    Args:
+        vm: The name of this VM, written with each event.
+        stream: The stream to write to.
 
     Returns:
-        What stops that thread, after it has written what is queued.
+        The listener, whose `stop` writes the queued lines and ends the thread.
     """
-    lines: queue.Queue[logging.LogRecord] = queue.Queue(_MAX_QUEUED)
+    lines: queue.Queue[logging.LogRecord] = queue.Queue(_MAX_QUEUED_LINES)
     writer = logging.StreamHandler(stream)
-    writer.setFormatter(_Json(vm))
+    writer.setFormatter(_JsonFormatter(vm))
     logger = logging.getLogger(_LOGGER)
     logger.propagate = False
     logger.setLevel(logging.INFO)
-    logger.handlers = [_Queue(lines)]
+    logger.handlers = [_DroppingQueueHandler(lines)]
     listener = logging.handlers.QueueListener(lines, writer)
     listener.start()
     return listener
--- a/packages/core/bulrushdeal/kernel.py
+++ b/packages/core/bulrushdeal/kernel.py
@@ -1,4 +1,4 @@
-"""A micro-kernel: services register by name and find each other by name."""
+"""The service registry of a process, which starts and stops its services."""
 
 from collections.abc import Callable
 import threading
@@ -13,72 +13,85 @@
 
 
 class Service(Protocol):
-    """A part of a process that is started and stopped as one."""
+    """A component of a process with its own start and stop."""
 
     def start(self) -> None:
-        """Begins to work; services registered earlier run already."""
+        """Starts the service, after those registered before it."""
 
     def stop(self, grace_s: float) -> None:
-        """Ends gracefully, taking at most `grace_s` seconds."""
+        """Stops the service gracefully within `grace_s` seconds."""
 
     def dump(self) -> Any:
-        """Returns the state for people: messages, mappings and scalars."""
+        """Returns the state for operators as messages, mappings and scalars."""
 
 
 class MissingServiceError(Exception):
-    """A service was looked up that was never registered."""
+    """Raised when a service is looked up that is not registered."""
 
 
 class Kernel:
     """Holds the services of one process.
 
-    They start in the order of registration, which is the order of their
-    dependencies, and stop in reverse.
+    Services start in the order of registration and stop in reverse. Each must
+    be registered after the services that it depends on.
     """
 
     def __init__(self) -> None:
         self._services: dict[str, Service] = {}
-        self._offered: dict[str, object] = {}
+        self._objects: dict[str, object] = {}
         self._started: list[str] = []
         self._lock = threading.Lock()
 
     def register(self, name: str, service: Service) -> None:
-        """Adds a service under a name that nothing else has."""
+        """Registers a service.
+
+        Raises:
+            ValueError: The name is already taken.
+        """
         if name in self._services:
             raise ValueError(f"service {name} is registered already")
         self._services[name] = service
 
     def offer(self, name: str, value: object) -> None:
-        """Adds what is found like a service but is neither started nor stopped.
+        """Registers an object that is looked up like a service.
+
+        The kernel neither starts nor stops it; the caller must have made it
+        ready for use.
 
-        It must have been made ready by whoever offers it.
+        Raises:
+            ValueError: The name is already taken.
         """
-        if name in self._services or name in self._offered:
+        if name in self._services or name in self._objects:
             raise ValueError(f"service {name} is registered already")
-        self._offered[name] = value
+        self._objects[name] = value
 
     def find(self, name: str, kind: Callable[..., T] | type[T]) -> T:
-        """Returns the service `name`.
+        """Returns the service that is registered under a name.
 
         Args:
             name: The name it was registered under.
-            kind: The `Protocol` that the caller speaks to it through.
+            kind: The `Protocol` that the caller uses it through. It only sets
+                the return type and is not checked.
 
         Raises:
             MissingServiceError: Nothing is registered under the name.
         """
         del kind
-        service = self._services.get(name, self._offered.get(name))
+        service = self._services.get(name, self._objects.get(name))
         if service is None:
             raise MissingServiceError(name)
         return cast(T, service)
 
     def has(self, name: str) -> bool:
-        """Tells whether a service is registered under the name."""
-        return name in self._services or name in self._offered
+        """Returns whether a service or object is registered under the name."""
+        return name in self._services or name in self._objects
 
     def start(self) -> None:
-        """Starts each service; on an error stops those started."""
+        """Starts each service in the order of registration.
+
+        If one fails, the services started before it are stopped and its error
+        is raised again.
+        """
         for name, service in self._services.items():
             try:
                 service.start()
@@ -93,7 +106,8 @@
         """Stops each started service in reverse order.
 
         Args:
-            grace_s: For all services together; each gets what is left.
+            grace_s: The time for all services together, in seconds; each one
+                gets what the ones before it left.
         """
         end_s = time.monotonic() + grace_s
         with self._lock:
@@ -112,6 +126,6 @@
         for name, service in self._services.items():
             try:
                 states[name] = service.dump()
-            except Exception as error:  # noqa: BLE001 - dump what can be.
+            except Exception as error:  # noqa: BLE001 - dump the others.
                 states[name] = f"dump failed: {error!r}"
         return states
--- a/packages/core/bulrushdeal/memory.py
+++ b/packages/core/bulrushdeal/memory.py
@@ -1,15 +1,15 @@
-"""What a process does about its own memory."""
+"""Settings of the garbage collector."""
 
 import gc
 
 
 def keep_started_objects() -> None:
-    """Takes all objects made so far out of the garbage collector's sight.
+    """Excludes all existing objects from garbage collection for good.
 
-    The failure: when batch work brings many new objects, the collector looks
-    through all old ones as well, most of them of imported modules, and every
-    stream of this VM stands still meanwhile. It shows as one late token on
-    each of them. What is kept here lives as long as the process.
+    When batch work creates many new objects, a full collection also traverses
+    all old ones, most of which belong to imported modules. Every stream of the
+    VM pauses meanwhile and has one late token. The excluded objects live as
+    long as the process.
     """
     gc.collect()
     gc.freeze()
--- a/packages/core/bulrushdeal/metrics.py
+++ b/packages/core/bulrushdeal/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timers sent by `statsd`."""
+"""Counters, gauges and timers, sent with the `statsd` client."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class Metrics(Protocol):
-    """Where a part reports its numbers."""
+    """The interface through which a component reports its metrics."""
 
     def increment(self, name: str, count: int = 1) -> None:
         """Adds `count` to a counter."""
@@ -19,7 +19,7 @@
 
 
 class NoMetrics:
-    """Drops what it is given, where no address is set."""
+    """Discards all metrics, for use if no address is set."""
 
     def increment(self, name: str, count: int = 1) -> None:
         """See `Metrics`."""
@@ -32,7 +32,11 @@
 
 
 class StatsdMetrics:
-    """Sends to a statsd server over UDP; a lost packet is not noticed."""
+    """Sends metrics to a statsd server over UDP, without noticing lost packets.
+
+    Args:
+        address: `HOST:PORT` of the server.
+    """
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -52,5 +56,10 @@
 
 
 def connect(address: str) -> Metrics:
-    """Returns metrics sent to `HOST:PORT`, or dropped if it is empty."""
+    """Returns a sender of metrics.
+
+    Args:
+        address: `HOST:PORT` of a statsd server; if it is empty, metrics are
+            discarded.
+    """
     return StatsdMetrics(address) if address else NoMetrics()
--- a/packages/core/bulrushdeal/records.py
+++ b/packages/core/bulrushdeal/records.py
@@ -1,4 +1,4 @@
-"""The records that the operators' configuration is made of."""
+"""The record types of the operators' configuration and the list of VMs."""
 
 from typing import Literal, NamedTuple
 
@@ -13,12 +13,15 @@
 
     Attributes:
         vm: The VM's name, unique over its whole life.
-        failure_domain: Where it stands.
-        role: Whether it runs this system or an upstream.
-        peer_address: `HOST:PORT` for entry VMs' peers; empty for others.
-        state: A leaving VM is given no new work.
+        failure_domain: The failure domain that the VM belongs to.
+        role: `entry` if the VM runs this system, `upstream` if it runs an
+            upstream.
+        peer_address: `HOST:PORT` at which other entry VMs connect to it; empty
+            for upstream VMs.
+        state: Whether the VM stays or is about to be removed; a leaving VM is
+            given no new work.
         has_disk: Whether it runs a bulk store.
-        cores: The processor cores that it may use; 0 if unknown.
+        cores: The number of processor cores that it may use; 0 if unknown.
     """
 
     vm: str
@@ -34,11 +37,13 @@
     """One row of the operators' table of weights and limits.
 
     Attributes:
-        customer: The name.
-        weight: Its share when customers compete, relative to the others.
-        rate_per_s: Requests a second, over all VMs together.
-        burst: Requests that may come at once, over all VMs together.
-        batch_weight: Its share of batch capacity.
+        customer: The customer's name.
+        weight: Its share of online capacity when customers compete, relative
+            to the weights of the others.
+        rate_per_s: The allowed rate over all VMs together, in requests per
+            second.
+        burst: The number of requests allowed at once, over all VMs together.
+        batch_weight: Its share of batch capacity, relative to the others.
     """
 
     customer: str
@@ -49,12 +54,13 @@
 
 
 class OpeningPart(NamedTuple):
-    """What one failure domain has of an opening.
+    """One failure domain's part of a new customer's initial tokens.
 
     Attributes:
-        failure_domain: Whose part.
-        epoch: Of the only owner of the part that may give it.
-        fraction: Of the row's burst.
+        failure_domain: The failure domain that the part belongs to.
+        epoch: The ownership epoch of the part; only the owner of this epoch
+            may grant the tokens.
+        fraction: The part's share of the customer's burst, from 0 to 1.
     """
 
     failure_domain: str
@@ -63,14 +69,15 @@
 
 
 class Opening(NamedTuple):
-    """The tokens that a customer begins with, one burst in all.
+    """The initial tokens of a new customer, one burst over all domains.
 
     Attributes:
-        customer: The customer.
-        burst: The row's burst when it was made.
-        made_s: When, by the wall clock; some minutes later every owner has
-            seen it, and it may go.
-        parts: How the limits were split at that time.
+        customer: The customer's name.
+        burst: The customer's burst when the customer was created.
+        made_s: The wall-clock time of creation, in seconds since the epoch. A
+            few minutes later every owner has seen the record, and it may be
+            deleted.
+        parts: How the limits were split between failure domains at that time.
     """
 
     customer: str
@@ -84,9 +91,9 @@
 
     Attributes:
         key_hash: SHA-256 of the key, in hexadecimal.
-        customer: Whom it belongs to.
-        label: A name that operators tell it by.
-        withdrawn: Whether it has been withdrawn; this never reverts.
+        customer: The customer that the key belongs to.
+        label: A name by which operators recognize the key.
+        withdrawn: Whether the key has been withdrawn, which is permanent.
     """
 
     key_hash: str
@@ -99,15 +106,17 @@
     """A model engine or plain service that requests are routed to.
 
     Attributes:
-        upstream: The name.
-        kind: A model engine or a plain service.
+        upstream: The upstream's name.
+        kind: Whether it is a model engine or a plain service.
         address: `HOST:PORT` of its HTTP server.
         vm: The VM it runs on, as the platform lists it.
-        failure_domain: Where it stands.
-        models: The models an engine serves.
+        failure_domain: The failure domain that it belongs to.
+        models: The models that an engine serves.
         service: The path segment that a plain service is called by.
-        slots: Requests it runs at once without harm.
-        checks_fencing: Whether it refuses an order with an old number.
+        slots: The number of requests that it can run at once without
+            overload.
+        checks_fencing: Whether it refuses an order whose fencing number is
+            lower than one it has already seen.
     """
 
     upstream: str
--- a/packages/core/bulrushdeal/settings.py
+++ b/packages/core/bulrushdeal/settings.py
@@ -1,4 +1,7 @@
-"""One table of settings that makes flags, variables, checks and docs."""
+"""Settings, defined in one table.
+
+Flags, environment variables, checks and docs are all derived from the table.
+"""
 
 from collections.abc import Mapping, Sequence
 import re
@@ -13,17 +16,17 @@
 
 
 class Setting(NamedTuple):
-    """One row of the table.
+    """One row of the settings table.
 
     Attributes:
-        name: The field's name, with its unit; `drain_s` is the flag
-            `--drain-s` and the variable `BULRUSHDEAL_DRAIN_S`.
-        kind: How the text is read.
-        default: The value when nothing is given; `None` makes it required.
+        name: The name with its unit; `drain_s` becomes the flag `--drain-s`
+            and the environment variable `BULRUSHDEAL_DRAIN_S`.
+        kind: The type that the text is parsed as.
+        default: The value if none is given; `None` makes the setting required.
         help_text: One sentence for `--help` and the docs.
-        low: The least number allowed.
-        high: The greatest number allowed.
-        choices: The words allowed, for the kind `choice`.
+        low: The smallest number allowed.
+        high: The largest number allowed.
+        choices: The values allowed for the kind `choice`.
     """
 
     name: str
@@ -41,12 +44,12 @@
 
     @property
     def variable(self) -> str:
-        """The environment variable."""
+        """The name of the environment variable."""
         return "BULRUSHDEAL_" + self.name.upper()
 
     @property
     def allowed(self) -> str:
-        """What a value has to look like, in words."""
+        """A description of the allowed values, for error messages and docs."""
         if self.kind == "choice":
             return "one of " + ", ".join(self.choices)
         if self.kind in ("integer", "number"):
@@ -59,7 +62,7 @@
 
 
 class SettingError(errors.UserError):
-    """A setting is unknown, missing, out of range or contradicts another."""
+    """A setting is unknown, missing, invalid or contradicts another."""
 
 
 def read(
@@ -67,14 +70,29 @@
     flags: Mapping[str, str],
     environment: Mapping[str, str],
 ) -> dict[str, Value]:
-    """Returns each setting's checked value; a flag beats a variable.
+    """Parses and checks the value of each setting.
+
+    A flag takes precedence over an environment variable, and both over the
+    default.
+
+    Args:
+        table: The settings.
+        flags: The values given as flags, by flag without leading dashes.
+        environment: The environment variables of the process.
+
+    Returns:
+        The values by setting name.
 
     Raises:
-        SettingError: Names the setting, the value and what is allowed.
+        SettingError: A variable is unknown, a required setting is missing, or
+            a value is not allowed.
     """
-    known = {setting.variable for setting in table}
+    known_variables = {setting.variable for setting in table}
     for variable in environment:
-        if variable.startswith("BULRUSHDEAL_") and variable not in known:
+        if (
+            variable.startswith("BULRUSHDEAL_")
+            and variable not in known_variables
+        ):
             raise SettingError(
                 f"{variable}: unknown setting; see --help for those allowed"
             )
@@ -93,30 +111,30 @@
 
 
 def _parse(setting: Setting, text: str) -> Value:
-    problem = SettingError(
+    error = SettingError(
         f"--{setting.flag}: {text!r} is not allowed; allowed: {setting.allowed}"
     )
     if setting.kind in ("integer", "number"):
         try:
             number = int(text) if setting.kind == "integer" else float(text)
         except ValueError:
-            raise problem from None
+            raise error from None
         if not setting.low <= number <= setting.high:
-            raise problem
+            raise error
         return number
     if setting.kind == "choice" and text not in setting.choices:
-        raise problem
+        raise error
     if setting.kind == "address" and text and not _ADDRESS.match(text):
-        raise problem
+        raise error
     if setting.kind == "addresses" and text:
         for part in text.split(","):
             if not _ADDRESS.match(part):
-                raise problem
+                raise error
     return text
 
 
 def describe(table: Sequence[Setting]) -> str:
-    """Returns the table as Markdown, for the operators' docs."""
+    """Returns the table as Markdown for the operators' docs."""
     lines = [
         "| flag | variable | default | allowed | meaning |",
         "|---|---|---|---|---|",
