--- a/packages/core/bulrushdeal/httpd.py
+++ b/packages/core/bulrushdeal/httpd.py
@@ -1,4 +1,4 @@
-"""A small HTTP server over `cheroot`, and the types of its handlers."""
+"""A small HTTP server based on `cheroot`, and the types of its handlers."""
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
 import http
@@ -14,31 +14,33 @@
 DEFAULT_THREADS = 200
 _BACKLOG = 1024
 _SOCKET_TIMEOUT_S = 60
-# Connections that may wait for a thread, as a part of the threads: a burst
-# of short requests finds room, and nobody waits behind long streams unseen.
-_WAITING_SHARE = 4
+# One connection may wait for a thread per this many threads. A burst of short
+# requests fits in the queue; the bound keeps connections from waiting unnoticed
+# behind long streams.
+_THREADS_PER_WAITING = 4
 _MIN_WAITING = 16
 
 
 class BodyReader(Protocol):
-    """Reads a request's body as it arrives."""
+    """A reader of a request's body, which may still be arriving."""
 
     def read(self, size_bytes: int = -1) -> bytes:
         """Returns up to `size_bytes` bytes, fewer only at the end."""
 
 
 class Request(NamedTuple):
-    """A request as the handlers see it.
+    """A request as it is passed to handlers.
 
     Attributes:
-        method: In capitals.
-        path: Without the query, percent-decoded.
-        query: What follows the question mark, as it came.
-        headers: With names in lower case.
-        body: Reads the body.
-        length_bytes: The body's length if it was given, else -1.
-        target: The path and query as they came on the wire.
-        connection: The caller's socket, to notice that the caller left.
+        method: The method in upper case.
+        path: The path without the query, percent-decoded.
+        query: The text after the question mark, not decoded.
+        headers: The header values by lower-case name.
+        body: The reader of the body.
+        length_bytes: The length of the body, or -1 if it is not known.
+        target: The path and query as they were received, not decoded.
+        connection: The socket to the caller, to detect that the caller closed
+            the connection.
     """
 
     method: str
@@ -52,7 +54,14 @@
 
 
 class Response(NamedTuple):
-    """An answer; `body` is sent as it is made, and closed at the end."""
+    """A response to a request.
+
+    Attributes:
+        status: The HTTP status code.
+        headers: The names and values of the headers.
+        body: The pieces of the body, each sent when it is yielded. A `close`
+            method is called at the end if there is one.
+    """
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -65,7 +74,7 @@
 def json_response(
     status: int, value: Any, headers: tuple[tuple[str, str], ...] = ()
 ) -> Response:
-    """Returns an answer with a JSON body."""
+    """Returns a response with a JSON body."""
     body = json.dumps(value).encode()
     return Response(
         status,
@@ -79,19 +88,19 @@
 
 
 def close(body: Iterable[bytes]) -> None:
-    """Closes an answer's body if it can be closed."""
+    """Closes a response body if it has a `close` method."""
     closer = getattr(body, "close", None)
     if closer is not None:
         closer()
 
 
 def read_chunks(body: BodyReader) -> Iterator[bytes]:
-    """Yields a body piece by piece."""
+    """Yields a body in pieces of at most 64 KiB."""
     while chunk := body.read(_CHUNK_BYTES):
         yield chunk
 
 
-def _request(environ: dict[str, Any]) -> Request:
+def _request_of(environ: dict[str, Any]) -> Request:
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
@@ -99,7 +108,7 @@
     }
     if environ.get("CONTENT_TYPE"):
         headers["content-type"] = environ["CONTENT_TYPE"]
-    # A chunked body has no length, whatever another header says.
+    # The length of a chunked body is unknown, whatever `Content-Length` says.
     is_chunked = environ.get("wsgi.input_terminated", False)
     length = "-1" if is_chunked else environ.get("CONTENT_LENGTH") or "-1"
     return Request(
@@ -110,22 +119,22 @@
         environ["wsgi.input"],
         int(length),
         environ.get("REQUEST_URI", ""),
-        environ.get(httpwire.SOCKET),
+        environ.get(httpwire.SOCKET_KEY),
     )
 
 
-_BUSY = json_response(503, {}, (("Retry-After", "1"),))
+_BUSY_RESPONSE = json_response(503, {}, (("Retry-After", "1"),))
 
 
-def _wire(response: Response) -> bytes:
-    """Returns a whole answer as it goes over the wire."""
-    lines = [f"HTTP/1.1 {response.status} {_phrase(response.status)}"]
+def _serialize(response: Response) -> bytes:
+    """Returns the bytes of a response that closes the connection."""
+    lines = [f"HTTP/1.1 {response.status} {_reason_phrase(response.status)}"]
     lines += [f"{name}: {value}" for name, value in response.headers]
     head = "\r\n".join((*lines, "Connection: close", "", ""))
     return head.encode("latin-1") + b"".join(response.body)
 
 
-def _phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return http.HTTPStatus(status).phrase
     except ValueError:
@@ -133,16 +142,18 @@
 
 
 class Server:
-    """Serves one handler on one address, each connection on its thread.
+    """An HTTP server that uses one thread per connection being served.
 
     The number of accepted connections that wait for a thread is bounded,
-    since those that wait age unseen; others are refused at once.
+    because the handler cannot see how long they have waited. Further
+    connections are refused at once.
 
     Args:
-        address: `HOST:PORT`; port 0 takes a free one.
-        handler: Called on a connection's thread.
-        threads: Connections served at once.
-        busy: The answer to a connection that found no room.
+        address: `HOST:PORT`; port 0 selects a free port.
+        handler: The function that answers requests; it is called on the
+            thread of the connection.
+        threads: The maximum number of connections served at once.
+        busy: The response to a refused connection; 503 by default.
     """
 
     def __init__(
@@ -156,22 +167,22 @@
         self._handler = handler
         self._server = httpwire.Server(
             (host, int(port)),
-            self._serve,
+            self._run_wsgi,
             threads,
-            max(threads // _WAITING_SHARE, _MIN_WAITING),
+            max(threads // _THREADS_PER_WAITING, _MIN_WAITING),
             request_queue_size=_BACKLOG,
             timeout=_SOCKET_TIMEOUT_S,
         )
-        self._server.busy = _wire(busy or _BUSY)
+        self._server.busy_response = _serialize(busy or _BUSY_RESPONSE)
         self._thread: threading.Thread | None = None
 
     @property
     def port(self) -> int:
-        """The port it listens on, known after `start`."""
+        """The port that the server listens on, known after `start`."""
         return cast(int, self._server.bind_addr[1])
 
     def start(self) -> None:
-        """Binds the address and serves on threads of its own."""
+        """Binds the address and starts to serve on background threads."""
         self._server.prepare()
         self._thread = threading.Thread(
             target=self._server.serve, name="httpd", daemon=True
@@ -179,34 +190,35 @@
         self._thread.start()
 
     def bound(self, max_header_bytes: int, idle_s: float) -> None:
-        """Sets what callers may send from now on, open connections included.
+        """Sets the limits of all connections, including open ones.
 
         Args:
-            max_header_bytes: Of a request's line and header.
-            idle_s: How long a connection may rest, or a read or write wait.
+            max_header_bytes: The maximum size of the request line and headers.
+            idle_s: The maximum time, in seconds, that a connection may be idle
+                or a read or write may block.
         """
         self._server.max_request_header_size = max_header_bytes
         self._server.timeout = idle_s
 
     def stop(self, grace_s: float) -> None:
-        """Stops accepting and gives open requests `grace_s` seconds."""
+        """Stops accepting and lets open requests finish within `grace_s` s."""
         self._server.shutdown_timeout = grace_s
         self._server.stop()
         if self._thread is not None:
             self._thread.join(grace_s)
 
-    def _serve(
+    def _run_wsgi(
         self, environ: dict[str, Any], start_response: Any
     ) -> Iterable[bytes]:
-        response = self._handler(_request(environ))
-        phrase = _phrase(response.status)
+        response = self._handler(_request_of(environ))
+        phrase = _reason_phrase(response.status)
         try:
             start_response(
                 f"{response.status} {phrase}", list(response.headers)
             )
         except Exception:
-            # A header that cannot be written: nobody would iterate the body
-            # and close it, and what it holds would be held for ever.
+            # A header is invalid. The server will not iterate or close the
+            # body, so its resources would never be released.
             close(response.body)
             raise
         return response.body
--- a/packages/core/bulrushdeal/httpwire.py
+++ b/packages/core/bulrushdeal/httpwire.py
@@ -1,8 +1,8 @@
-"""What `cheroot` is adapted in: strict framing, and refusals.
+"""Adaptations of `cheroot`: strict framing and immediate refusals.
 
-A caller's framing must mean the same to this server, to the balancer before
-it and to the upstream behind: what one takes for a body's rest another may
-take for the next request.
+This server, the load balancer in front of it and the upstream behind it must
+agree on where each request ends. Otherwise one of them may take the rest of a
+body for the next request (request smuggling).
 """
 
 import queue
@@ -17,31 +17,39 @@
 
 from bulrushdeal import sockets
 
-SOCKET = "bulrushdeal.socket"
+# The key of the caller's socket in the WSGI environment.
+SOCKET_KEY = "bulrushdeal.socket"
 _MAX_HEADER_BYTES = 64 * 1024
-# Threads from the start on; connections that come at once find one free.
-_FIRST_THREADS = 4
+# Threads started with the server, so that the first connections need not wait.
+_INITIAL_THREADS = 4
 _MAX_UNREAD_BYTES = 64 * 1024
-_MAX_PIECE_BYTES = 64 * 1024
+_MAX_READ_BYTES = 64 * 1024
 _MAX_CHUNK_LINE_BYTES = 1024
 _MAX_TRAILER_LINES = 100
 _CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,15}")
 _LENGTH = re.compile(rb"[0-9]{1,18}")
-# Headers that the library joins itself when they are repeated.
-_JOINED = frozenset(vars(cheroot.server)["comma_separated_headers"])
-_SINGLE = (b"Content-Length", b"Transfer-Encoding", b"Host", b"Authorization")
+# Headers whose repeated values cheroot itself joins with commas.
+_COMMA_JOINED = frozenset(vars(cheroot.server)["comma_separated_headers"])
+# Headers that must not be repeated.
+_SINGLE_VALUED = (
+    b"Content-Length",
+    b"Transfer-Encoding",
+    b"Host",
+    b"Authorization",
+)
 
 
 class _Headers(dict[bytes, bytes]):
-    """Keeps repeated headers, which the library overwrites."""
+    """Headers that join repeated values, which cheroot would overwrite."""
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
         held = self.get(name)
-        if held is not None and name in _SINGLE:
-            # Whoever takes the other one sees another body or another key.
+        if held is not None and name in _SINGLE_VALUED:
+            # Another server might use the other value, and with it another
+            # body or API key.
             raise ValueError(f"{name.decode('latin-1')} is repeated.")
-        # The library joins those of its own list before it sets them.
-        if held is None or name in _JOINED:
+        # For headers in its own list, cheroot passes the joined value.
+        if held is None or name in _COMMA_JOINED:
             super().__setitem__(name, value)
             return
         separator = b"; " if name == b"Cookie" else b", "
@@ -49,9 +57,9 @@
 
 
 class _HeaderReader(cheroot.server.HeaderReader):
-    # `Content_Length` and `Content-Length` would become one name, and the
-    # body's length would be what another than the server's reader says.
-    # The library's own reader for this fails on bytes.
+    # In the WSGI environment `Content_Length` and `Content-Length` have the
+    # same key, so the former could replace the length that framing uses.
+    # cheroot's own `DropUnderscoreHeaderReader` fails on bytes.
     def _allow_header(self, key_name: bytes) -> bool:
         return b"_" not in key_name
 
@@ -75,32 +83,32 @@
 class _ChunkedBody(cheroot.server.ChunkedRFile):
     """Reads a chunked body in pieces of bounded size.
 
-    The library reads a whole chunk into memory, of whatever size the caller
-    says, and takes odd spellings of the size.
+    cheroot reads each chunk into memory whole, without a limit on its size,
+    and accepts malformed sizes such as `-2` and `0x2`.
     """
 
     def __init__(self, rfile: Any) -> None:
         super().__init__(rfile, 0)
-        self._left_bytes = 0
+        self._chunk_left_bytes = 0
 
     def _fetch(self) -> None:
         if self.closed:
             return
-        if not self._left_bytes:
-            self._left_bytes = self._next_size()
-        if not self._left_bytes:
+        if not self._chunk_left_bytes:
+            self._chunk_left_bytes = self._read_chunk_size()
+        if not self._chunk_left_bytes:
             self.closed = True
             self._skip_trailer()
             return
-        piece = self.rfile.read(min(self._left_bytes, _MAX_PIECE_BYTES))
+        piece = self.rfile.read(min(self._chunk_left_bytes, _MAX_READ_BYTES))
         if not piece:
             raise ValueError("The chunked body is cut.")
-        self._left_bytes -= len(piece)
+        self._chunk_left_bytes -= len(piece)
         self.buffer += piece
-        if not self._left_bytes and self.rfile.read(2) != b"\r\n":
+        if not self._chunk_left_bytes and self.rfile.read(2) != b"\r\n":
             raise ValueError("A chunk has no end.")
 
-    def _next_size(self) -> int:
+    def _read_chunk_size(self) -> int:
         line = self.rfile.readline(_MAX_CHUNK_LINE_BYTES)
         size = line.split(b";", 1)[0].strip()
         if not line.endswith(b"\r\n") or not _CHUNK_SIZE.fullmatch(size):
@@ -118,10 +126,10 @@
 
 
 class _Writer:
-    """Writes to a caller's socket at once.
+    """An unbuffered writer to a caller's socket.
 
-    The library's own writer is a buffer in Python that is flushed after each
-    write, at the cost of a dozen calls for each token.
+    cheroot's writer is a buffer in Python that is flushed after each write,
+    which costs about a dozen calls per token.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -129,7 +137,7 @@
         self.bytes_written = 0
 
     def write(self, data: bytes) -> int:
-        """Sends all of it."""
+        """Sends all of `data` and returns its length in bytes."""
         self._socket.sendall(data)
         self.bytes_written += len(data)
         return len(data)
@@ -152,7 +160,7 @@
 
     def get_environ(self) -> Any:
         environ = super().get_environ()  # type: ignore[no-untyped-call]
-        environ[SOCKET] = self.req.conn.socket
+        environ[SOCKET_KEY] = self.req.conn.socket
         return environ
 
     def start_response(
@@ -164,122 +172,122 @@
 
 
 def _has_unread_body(body: Any) -> bool:
-    # The library reads the rest of a body with a length into memory at once,
-    # and takes the rest of a chunked one for the next request. Neither may
-    # happen when a request was refused without reading it.
+    # cheroot reads the rest of a body with a length into memory whole, and
+    # parses the rest of a chunked body as the next request. Neither may happen
+    # when a request is refused without reading its body.
     if isinstance(body, cheroot.server.ChunkedRFile):
         return not body.closed
     return bool(getattr(body, "remaining", 0) > _MAX_UNREAD_BYTES)
 
 
 class _Pool(cheroot.workers.threadpool.ThreadPool):
-    """Has a thread more whenever a connection finds none free.
+    """A thread pool that adds a thread if a connection finds none free.
 
-    The library starts all threads at once: with 91 processes of 160 threads
-    each on one machine there was no room for more. Its own `grow` sleeps until
-    the new thread runs, on the thread that accepts, and its `idle` counts a
-    thread that has taken a connection and not begun with it: the next one
-    would wait behind a long stream.
+    cheroot starts a fixed number of threads at once; 91 processes of 160
+    threads each left a machine no room for more threads. cheroot's `grow`
+    sleeps on the accepting thread until the new thread runs. Its `idle` also
+    counts a thread that has taken a connection but not yet started on it, so
+    the next connection could wait behind a long stream.
     """
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         self._lock = threading.Lock()
-        # Threads that wait, less the connections that are queued for them.
-        self._free = 0
-        # The library's own is the queue's method.
+        # The number of waiting threads less that of queued connections.
+        self._free_threads = 0
+        # cheroot sets `get` on each instance, to the method of the queue.
         self.get = self._get
 
     def _get(self) -> Any:
         with self._lock:
-            self._free += 1
-        return self._inner()._queue.get()
+            self._free_threads += 1
+        return self._untyped()._queue.get()
 
     def put(self, obj: Any) -> None:
-        """Hands over a connection.
+        """Queues a connection and adds a thread if none is free.
 
         Raises:
-            queue.Full: No thread is free, and no more may wait.
+            queue.Full: No thread is free and the queue is full.
         """
         with self._lock:
-            is_served = self._free > 0
-            self._free -= 1
+            has_free_thread = self._free_threads > 0
+            self._free_threads -= 1
         try:
             super().put(obj)
         except queue.Full:
             with self._lock:
-                self._free += 1
+                self._free_threads += 1
             raise
-        threads = self._inner()._threads
-        if not is_served and len(threads) < self.max:
-            threads.append(self._inner()._spawn_worker())
+        threads = self._untyped()._threads
+        if not has_free_thread and len(threads) < self.max:
+            threads.append(self._untyped()._spawn_worker())
 
-    def _inner(self) -> Any:
-        """Returns this, for what the library's type stubs leave out."""
+    def _untyped(self) -> Any:
+        """Returns `self` untyped, for attributes missing in the type stubs."""
         return self
 
 
 class Server(cheroot.wsgi.Server):
-    """The library's server, which refuses at once what it has no room for.
+    """A cheroot server that refuses connections at once if it is full.
 
     Args:
-        address: Host and port.
+        address: The host and port to bind.
         app: The WSGI application.
-        threads: The most connections served at once.
-        most_waiting: Connections that may wait for a thread.
-        options: See the library.
+        threads: The maximum number of connections served at once.
+        max_waiting: The maximum number of connections waiting for a thread.
+        options: Further arguments of `cheroot.wsgi.Server`.
 
     Attributes:
-        busy: The whole answer to a connection that found no room, as bytes.
+        busy_response: The bytes of the whole response to a refused connection.
     """
 
     ConnectionClass = _Connection
-    # The library's limit of 10 would close nearly every connection.
+    # With cheroot's limit of 10 nearly every connection would be closed.
     keep_alive_conn_limit = None  # type: ignore[assignment]
-    # Bodies are relayed as they come, so they may be long.
+    # Unlimited: bodies are relayed as they arrive, so they may be long.
     max_request_body_size = 0
-    # Without a limit a caller's endless header fills the memory.
+    # Without a limit an endless header would exhaust the memory.
     max_request_header_size = _MAX_HEADER_BYTES
-    busy = b""
+    busy_response = b""
 
     def __init__(
         self,
         address: tuple[str, int],
         app: Any,
         threads: int,
-        most_waiting: int,
+        max_waiting: int,
         **options: Any,
     ) -> None:
         super().__init__(address, app, **options)
-        # The library's constructor sets its own.
+        # The constructor of cheroot sets its own gateway and pool.
         self.gateway = _Gateway
         self.requests = _Pool(
             self,
-            min=min(_FIRST_THREADS, threads),
+            min=min(_INITIAL_THREADS, threads),
             max=threads,
-            accepted_queue_size=most_waiting,
-            # The thread that accepts must not wait for room.
+            accepted_queue_size=max_waiting,
+            # The accepting thread must not block on a full queue.
             accepted_queue_timeout=0,
         )
 
     def process_conn(self, conn: Any) -> None:
-        """Hands a connection to a thread, or refuses it."""
+        """Queues a connection, or refuses it if the queue is full."""
         try:
             self.requests.put(conn)
         except queue.Full:
             self._refuse(conn)
 
     def _refuse(self, conn: Any) -> None:
-        # On the thread that accepts: the answer is small enough for the
-        # socket's buffer, so it does not wait for the caller.
+        # Runs on the accepting thread. The response fits in the socket's send
+        # buffer, so sending does not wait for the caller.
         try:
             conn.socket.settimeout(0)
-            conn.socket.sendall(self.busy)
-            # A close with bytes unread would reset the connection, and the
-            # caller might never see the answer.
+            conn.socket.sendall(self.busy_response)
+            # Closing a socket with unread bytes resets the connection, and the
+            # caller might never receive the response.
             conn.socket.recv(_MAX_UNREAD_BYTES)
         except OSError:
-            # The caller left, or sent nothing yet.
+            # The caller has closed the connection or sent nothing yet.
             pass
         finally:
             conn.close()
--- a/packages/core/bulrushdeal/sockets.py
+++ b/packages/core/bulrushdeal/sockets.py
@@ -1,27 +1,28 @@
-"""Sockets whose timeouts the kernel keeps."""
+"""Sockets whose timeouts are enforced by the operating system."""
 
 import socket
 import struct
 from typing import Any
 
-_US = 1_000_000
+_US_PER_S = 1_000_000
 
 
 class TimedSocket(socket.socket):
-    """A connected socket whose timeouts cost no calls of their own.
+    """A connected socket whose timeouts need no additional system calls.
 
-    The standard library waits by a `poll` before each read and write of a
-    socket with a timeout, and gives up the interpreter lock around both. A
-    stream relayed token by token takes the lock four times a token that way,
-    behind all other threads that want it, and twice this way.
+    The standard library calls `poll` before each read and write of a socket
+    with a timeout, and releases the global interpreter lock around both calls.
+    Relaying a stream then acquires the lock four times per token, each time
+    waiting for all other threads that want it. With timeouts set by
+    `SO_RCVTIMEO` and `SO_SNDTIMEO` it is acquired twice per token.
     """
 
-    # What no timeout equals: the first one set is always applied.
+    # Equal to no valid timeout, so the first one set is always applied.
     _timeout_s: float | None = -1.0
 
     @classmethod
     def adopt(cls, sock: socket.socket) -> "TimedSocket":
-        """Takes over a connection; `sock` itself is of no use any more."""
+        """Takes over the connection of `sock`, which becomes unusable."""
         timeout_s = sock.gettimeout()
         kind = (sock.family, sock.type, sock.proto)
         adopted = cls(*kind, sock.detach())
@@ -29,7 +30,7 @@
         return adopted
 
     def settimeout(self, value: float | None) -> None:
-        """Sets how long one read or write may take; `None` for ever."""
+        """Sets the timeout of reads and writes in seconds; `None` for none."""
         if value == self._timeout_s:
             return
         self._timeout_s = value
@@ -41,7 +42,7 @@
         self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, packed)
 
     def gettimeout(self) -> float | None:
-        """Returns what was set."""
+        """Returns the timeout in seconds, or `None` if there is none."""
         return self._timeout_s
 
     def recv_into(self, *args: Any) -> int:
@@ -73,14 +74,14 @@
             raise self._timed_out(error) from None
 
     def _timed_out(self, error: BlockingIOError) -> OSError:
-        # The kernel tells the end of its timeout and "nothing is there" in
-        # the same way; only the first one is a timeout to a caller.
+        # The operating system reports EAGAIN both for an expired timeout and
+        # for a non-blocking call without data; only the first is a timeout.
         return error if self._timeout_s == 0 else TimeoutError("timed out")
 
 
 def _timeval(duration_s: float | None) -> bytes:
     if duration_s is None:
         return struct.pack("ll", 0, 0)
-    # Zero would mean for ever.
-    whole_us = max(1, int(duration_s * _US))
-    return struct.pack("ll", *divmod(whole_us, _US))
+    # Zero would mean no timeout.
+    whole_us = max(1, int(duration_s * _US_PER_S))
+    return struct.pack("ll", *divmod(whole_us, _US_PER_S))
--- a/tests/core/test_codec.py
+++ b/tests/core/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the codec: what is packed comes back, and bad input is named."""
+"""Tests of the codec: round trips, and errors that name the wrong field."""
 
 from typing import NamedTuple
 
@@ -37,7 +37,7 @@
 
 
 @given(st.binary())
-def test_any_bytes_give_a_message_or_a_codec_error(data: bytes) -> None:
+def test_unpack_of_any_bytes_raises_only_codec_error(data: bytes) -> None:
     registry = codec.Registry()
     registry.add(Outer)
     try:
@@ -46,12 +46,12 @@
         return
 
 
-def test_wrong_field_is_named() -> None:
+def test_error_names_the_wrong_field() -> None:
     with pytest.raises(codec.CodecError, match=r"Outer.inners\[0\].name"):
         codec.from_plain(Outer, {"inners": [{"name": 3}], "shares": {}})
 
 
-def test_missing_field_is_named_and_default_is_taken() -> None:
+def test_missing_field_gets_its_default_or_is_named() -> None:
     assert codec.from_plain(Inner, ["a"]) == Inner("a")
     with pytest.raises(codec.CodecError, match=r"Inner\.name: missing"):
         codec.from_plain(Inner, [])
--- a/tests/core/test_httpd.py
+++ b/tests/core/test_httpd.py
@@ -1,4 +1,4 @@
-"""Requests framed oddly are refused, and a refused body harms nobody."""
+"""Tests of the HTTP server: request framing, refusals and its threads."""
 
 from collections.abc import Iterator
 import socket
@@ -89,13 +89,14 @@
 @pytest.mark.parametrize(
     "head", [b"Transfer-Encoding: chunked", b"Content-Length: 900000"]
 )
-def test_rest_of_a_refused_body_is_not_the_next_request(
+def test_rest_of_a_refused_body_is_not_parsed_as_a_request(
     server: httpd.Server, head: bytes
 ) -> None:
-    """Story: a caller smuggles a request inside a body that was refused.
+    """Guards against request smuggling in a refused body.
 
-    The first request is refused unread; its body holds a second one. If the
-    server goes on reading there, that one runs with nobody's checks.
+    The first request is refused without reading its body, which contains a
+    second request. If the server parsed the body as the next request, the
+    second one would run without any of the checks made before this server.
     """
     inner = b"POST /inner HTTP/1.1\r\nHost: a\r\n\r\n"
     outer = b"POST /refuse HTTP/1.1\r\nHost: a\r\n" + head + b"\r\n\r\n"
@@ -105,18 +106,18 @@
     assert b"Connection: close" in answer
 
 
-def test_no_room() -> None:
-    """Story: callers wait unseen behind long streams until they time out.
+def test_connections_beyond_the_queue_are_refused_at_once() -> None:
+    """Guards against callers that wait behind long streams until they time out.
 
-    All threads are taken and the bounded queue is full; the next caller is
-    told at once to come back.
+    When all threads are busy and the bounded queue is full, the server answers
+    the next connection at once with 503 and `Retry-After`.
     """
     entered = threading.Event()
-    go_on = threading.Event()
+    release = threading.Event()
 
     def block(request: httpd.Request) -> httpd.Response:
         entered.set()
-        go_on.wait()
+        release.wait()
         return httpd.json_response(200, {})
 
     server = httpd.Server("127.0.0.1:0", block, threads=1)
@@ -127,13 +128,13 @@
         sock = socket.create_connection(("127.0.0.1", server.port), 10)
         sock.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         opened.append(sock)
-        # Until the thread has taken the first one, it waits in the queue too.
+        # The first connection is in the queue too until the thread takes it.
         assert entered.wait(30)
-    # 1 is served and 16 wait; the kernel's queue hands over in order.
+    # 1 is served and 16 wait; the listen backlog is accepted in order.
     refused = opened[-1].recv(65536)
     assert refused.startswith(b"HTTP/1.1 503")
     assert b"Retry-After: 1" in refused
-    go_on.set()
+    release.set()
     served = [sock.recv(65536)[:12] for sock in opened[:17]]
     assert served == [b"HTTP/1.1 200"] * 17
     for sock in opened:
@@ -141,34 +142,34 @@
     server.stop(1.0)
 
 
-def _workers() -> int:
+def _worker_count() -> int:
     return sum(
         row.name.startswith("CP Server") for row in threading.enumerate()
     )
 
 
 def test_threads_come_as_connections_need_them() -> None:
-    """Story: many processes on one machine, and no room for more threads.
+    """Guards against exhausting the threads of a machine with many processes.
 
-    A server that may serve a hundred connections at once held a hundred
-    threads from its start on, though it mostly serves a few.
+    A server for up to a hundred connections started a hundred threads at once,
+    though it mostly serves a few.
     """
-    together = threading.Barrier(24, timeout=30)
+    barrier = threading.Barrier(24, timeout=30)
 
     def meet(request: httpd.Request) -> httpd.Response:
-        together.wait()
+        barrier.wait()
         return httpd.json_response(200, {})
 
-    before = _workers()
+    before = _worker_count()
     server = httpd.Server("127.0.0.1:0", meet, threads=100)
     server.start()
-    assert _workers() - before < 10
+    assert _worker_count() - before < 10
     opened = []
     for _ in range(24):
         sock = socket.create_connection(("127.0.0.1", server.port), 10)
         sock.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         opened.append(sock)
-    # Each of them is answered only once all are served at the same time.
+    # The handler answers only once all 24 are being served at the same time.
     served = [sock.recv(65536)[:12] for sock in opened]
     assert served == [b"HTTP/1.1 200"] * 24
     for sock in opened:
@@ -177,16 +178,16 @@
 
 
 class _Worker:
-    """A thread of the pool that has taken a connection, not begun with it."""
+    """A pool thread that has taken a connection but not started on it."""
 
     conn = None
 
 
-def test_no_connection_waits_while_there_may_be_more_threads() -> None:
-    """Story: a request waits for seconds though the VM has hardly any work.
+def test_no_connection_waits_while_threads_can_be_added() -> None:
+    """Guards against requests that wait for seconds on a nearly idle VM.
 
-    A thread has taken a connection and not begun with it; the next one is
-    queued for it, and the thread goes on to a long stream.
+    A thread that has taken a connection but not started on it counted as free,
+    so the next connection was queued for it and waited behind a long stream.
     """
     pool: Any = httpwire._Pool(None, min=1, max=3)
     spawned: list[_Worker] = []
@@ -199,7 +200,7 @@
     pool._threads = [_Worker()]
     taker = threading.Thread(target=pool.get)
     taker.start()
-    while not pool._free:
+    while not pool._free_threads:
         time.sleep(0.01)
     pool.put("first")
     taker.join(10)
--- a/tests/core/test_kernel.py
+++ b/tests/core/test_kernel.py
@@ -1,4 +1,4 @@
-"""Tests of the kernel: order of start and stop, and lookups."""
+"""Tests of the kernel: the order of start and stop, and lookups."""
 
 from typing import Any
 
@@ -36,7 +36,7 @@
     assert events == ["start a", "start b", "stop b", "stop a"]
 
 
-def test_failed_start_stops_what_was_started() -> None:
+def test_failed_start_stops_the_services_started_before() -> None:
     events: list[str] = []
     kernel = kernel_lib.Kernel()
     kernel.register("a", Recorder("a", events))
--- a/tests/core/test_settings.py
+++ b/tests/core/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings: each mistake stops with a line that names it."""
+"""Tests of settings: precedence, and errors that name the setting."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 )
 
 
-def test_flag_beats_variable_beats_default() -> None:
+def test_flag_precedes_variable_and_variable_precedes_default() -> None:
     values = settings.read(
         TABLE,
         {"vm": "x"},
@@ -37,7 +37,7 @@
         ({"vm": "x"}, {"BULRUSHDEAL_DRAIN": "2"}, "BULRUSHDEAL_DRAIN: unknown"),
     ],
 )
-def test_mistake_is_named(
+def test_error_names_the_setting(
     flags: dict[str, str], environment: dict[str, str], message: str
 ) -> None:
     with pytest.raises(settings.SettingError, match=message):
--- a/tests/core/test_sockets.py
+++ b/tests/core/test_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of sockets whose timeouts the kernel keeps."""
+"""Tests of sockets whose timeouts the operating system enforces."""
 
 import socket
 import threading
@@ -11,15 +11,15 @@
 
 
 def pair(timeout_s: float | None) -> tuple[sockets.TimedSocket, socket.socket]:
-    """Returns an adopted end with a timeout, and the other end."""
+    """Returns an adopted socket with a timeout and its peer."""
     one, other = socket.socketpair()
     one.settimeout(timeout_s)
     return sockets.TimedSocket.adopt(one), other
 
 
-def test_silence_is_a_timeout_and_not_the_end() -> None:
-    # Read as "nothing is there", silence would pass for the end of the
-    # answer, the upstream for crashed, and the request for its cause.
+def test_read_without_data_times_out_and_is_not_end_of_stream() -> None:
+    # If an expired timeout looked like the end of the response, the upstream
+    # would be taken for crashed and the request for the cause of the crash.
     ours, theirs = pair(SHORT_S)
     with ours, theirs, ours.makefile("rb") as reader:
         for read in (
@@ -31,21 +31,21 @@
                 read()
 
 
-def test_what_comes_in_time_is_waited_for() -> None:
-    # Else the timeout of each read would be no more than a look.
+def test_read_waits_for_data_within_the_timeout() -> None:
+    # Guards against a read that returns at once if no data has arrived.
     ours, theirs = pair(60.0)
     with ours, theirs:
         threading.Timer(SHORT_S, theirs.sendall, (b"x",)).start()
         assert ours.recv(1) == b"x"
 
 
-def test_a_reader_that_takes_nothing_is_a_timeout() -> None:
+def test_write_times_out_if_the_peer_does_not_read() -> None:
     ours, theirs = pair(SHORT_S)
     with ours, theirs, pytest.raises(TimeoutError, match="timed out"):
         ours.sendall(bytes(50_000_000))
 
 
-def test_without_a_timeout_it_waits() -> None:
+def test_read_without_a_timeout_waits() -> None:
     ours, theirs = pair(SHORT_S)
     with ours, theirs:
         ours.settimeout(None)
@@ -53,7 +53,7 @@
         assert ours.recv(4) == b"late"
 
 
-def test_zero_asks_only_what_is_there() -> None:
+def test_zero_timeout_does_not_block() -> None:
     ours, theirs = pair(SHORT_S)
     with ours, theirs:
         ours.settimeout(0)
@@ -67,14 +67,14 @@
 
 
 def test_a_shutdown_wakes_a_blocked_reader() -> None:
-    # How a request is cancelled from another thread.
+    # Requests are cancelled in this way from another thread.
     ours, theirs = pair(60.0)
     with ours, theirs:
         threading.Timer(SHORT_S, ours.shutdown, (socket.SHUT_RDWR,)).start()
         assert ours.recv(1) == b""
 
 
-def test_the_adopted_socket_is_left_without_the_connection() -> None:
+def test_adopt_detaches_the_original_socket() -> None:
     one, other = socket.socketpair()
     with sockets.TimedSocket.adopt(one) as ours, other:
         assert one.fileno() == -1
