--- a/packages/core/bulrushdeal/eventlog.py
+++ b/packages/core/bulrushdeal/eventlog.py
@@ -17,7 +17,7 @@
 
 # A few seconds of lines at the rate of a busy VM; about 2 MB.
 _MAX_QUEUED_LINES = 4000
-# Successes per second that are written; the others are only counted.
+# Successes per second and component that are written; others are counted.
 _MAX_SUCCESSES_PER_S = 20.0
 _LOGGER = "bulrushdeal.events"
 # Lines lost by this process since its start, by event.
--- a/packages/core/bulrushdeal/kernel.py
+++ b/packages/core/bulrushdeal/kernel.py
@@ -46,7 +46,7 @@
         """Registers a service.
 
         Raises:
-            ValueError: The name is already taken.
+            ValueError: Another service is registered under the name.
         """
         if name in self._services:
             raise ValueError(f"service {name} is registered already")
