--- a/packages/daemon/bulrushdeald/bucket.py
+++ b/packages/daemon/bulrushdeald/bucket.py
@@ -1,14 +1,16 @@
-"""The arithmetic of one customer's tokens in one part: no threads, no I/O.
+"""The accounting of one customer's tokens in one part, without I/O or locks.
 
-What holds at all times, for the whole fleet: the sum over the parts of
-`level` and of what holders have in hand is at most the row's burst, and it
-grows only by the parts' accrual, which is at most the row's rate. So over
-any interval at most burst + rate * interval is admitted. For each part:
+Invariant over the whole fleet: the levels of all parts plus the credit of
+all holders are at most the row's burst. That sum grows only as the parts
+accrue tokens, together at most at the row's rate. So at most
+burst + rate * interval tokens are admitted over any interval.
+
+Invariant of each part:
 
     level + outstanding <= capacity + borrowed
 
-where `outstanding` is at least what holders have in hand of this part, and
-`borrowed` is at most what the lenders count as outstanding at this part.
+where `outstanding` is at least the credit that holders have of this part,
+and `borrowed` is at most what the lenders count as outstanding at this part.
 """
 
 from collections.abc import Hashable
@@ -17,19 +19,19 @@
 
 from bulrushdeald import shares
 
-# Clocks may run fast by some hundred parts in a million, and intervals are
-# measured by true time; accruing slower by more than that keeps the bound.
+# A clock may run fast by a few hundred parts per million, and the bound is
+# over true time. Accruing more slowly by a larger factor keeps the bound.
 CLOCK_DRIFT = 0.0005
-# Rounding of sums in floating point; far less than any token.
+# Absorbs the rounding of floating-point sums; far below one token.
 _EPSILON = 1e-9
 
 
 class Terms(NamedTuple):
-    """What one part may give of one customer's row.
+    """What one part may grant of one customer's row.
 
     Attributes:
-        rate_per_s: The part's rate.
-        burst: The part's burst.
+        rate_per_s: The part's share of the row's rate, in tokens/s.
+        burst: The part's share of the row's burst, in tokens.
         takeovers: See `shares.Part`.
     """
 
@@ -39,13 +41,22 @@
 
 
 class Ledger:
-    """A token bucket whose tokens may be in other hands for a while."""
+    """A token bucket that lends tokens to holders and borrows from lenders.
+
+    Attributes:
+        terms: The terms in force.
+        capacity: The most tokens that the part may have, unless it borrows.
+        level: The tokens available here.
+        outstanding: By holder, the credit that it may have.
+        debts: By lender, the tokens that it counts as lent to this part.
+        reserved: Room kept for tokens that another part was asked for.
+    """
 
     def __init__(self, terms: Terms, now_s: float) -> None:
         self.terms = terms
         self.capacity = shares.capacity(terms.burst, terms.takeovers)
-        # An earlier owner may have granted everything just before; `fill`
-        # is for what certainly nobody has granted.
+        # Starts empty, as an earlier owner may have granted the whole burst
+        # just before. `fill` adds tokens that certainly nobody has granted.
         self.level = 0.0
         self.outstanding: dict[Hashable, float] = {}
         self.debts: dict[Hashable, float] = {}
@@ -54,45 +65,46 @@
 
     @property
     def borrowed(self) -> float:
-        """What came from other parts and still counts there."""
+        """Borrowed tokens that the lenders still count as outstanding."""
         return sum(self.debts.values())
 
     @property
     def lent(self) -> float:
-        """What holders may have in hand."""
+        """The credit that all holders together may have."""
         return sum(self.outstanding.values())
 
     @property
     def room(self) -> float:
-        """How much the level may still rise."""
+        """How much the level may rise; below 0 if it is too high."""
         most = self.capacity + self.borrowed - self.reserved
         return most - self.level - self.lent
 
     @property
     def _lendable(self) -> float:
-        # Bounded, so that the next owner knows what it may not see: what
-        # is over its own bound counts as outstanding at the lenders.
+        # Bounded so that the next owner of the part can allow for credit it
+        # has no record of. Borrowed tokens may exceed the bound, since the
+        # lenders count them as outstanding.
         return shares.lendable(self.capacity) + self.borrowed - self.lent
 
     def accrue(self, now_s: float) -> None:
-        """Adds what the rate gave since the last call."""
+        """Adds the tokens accrued since the last call, up to the capacity."""
         elapsed_s = max(0.0, now_s - self._accrued_s)
         self._accrued_s = now_s
         gained = elapsed_s * self.terms.rate_per_s * (1 - CLOCK_DRIFT)
         self.level += max(0.0, min(gained, self.room))
 
     def fill(self, count: float) -> None:
-        """Adds tokens that a new row begins with, as far as there is room."""
+        """Adds the tokens that a new row starts with, as room permits."""
         self.level += max(0.0, min(count, self.room))
 
     def change(self, terms: Terms, now_s: float) -> None:
-        """Puts other terms in force; tokens over them are dropped."""
+        """Applies new terms and drops available tokens beyond them."""
         self.accrue(now_s)
         self.terms = terms
         self.capacity = shares.capacity(terms.burst, terms.takeovers)
-        self._clamp()
+        self._drop_excess()
 
-    def _clamp(self) -> None:
+    def _drop_excess(self) -> None:
         over = -self.room
         if over > 0:
             self.level = max(0.0, self.level - over)
@@ -100,29 +112,31 @@
     def report(
         self, holder: Hashable, held: float, returned: float = 0.0
     ) -> None:
-        """Notes what a holder has in hand, by its newest message.
+        """Records the credit that a holder's newest message reports.
 
         Args:
-            holder: Who.
-            held: What it has in hand.
-            returned: What it gave up unspent before it sent the message.
+            holder: The holder.
+            held: The credit that it has.
+            returned: Credit that it gave up unspent before it sent the
+                message.
         """
         if held > _EPSILON:
             self.outstanding[holder] = held
         else:
             self.outstanding.pop(holder, None)
-        self._clamp()
+        self._drop_excess()
         self.level += max(0.0, min(returned, self.room))
 
     def grantable(self) -> float:
-        """Returns the most that may be granted now."""
+        """Returns the most tokens that may be granted now."""
         return max(0.0, min(self.level, self._lendable))
 
     def grant(self, holder: Hashable, need: float, want: float) -> float:
-        """Moves tokens into a holder's hand.
+        """Grants tokens to a holder.
 
         Returns:
-            From `need` to `want` tokens, or 0 if `need` is not there.
+            Between `need` and `want` tokens; 0 if fewer than `need` may be
+            granted.
         """
         granted = min(want, self.grantable())
         if granted + _EPSILON < need or granted <= 0:
@@ -135,10 +149,11 @@
         """Moves tokens to the owner of another part.
 
         Args:
-            owner: Who.
+            owner: The owner of the other part.
             want: The most to move.
-            reserved: How much the other part has kept room for: that goes
-                over for good, the rest counts as outstanding here.
+            reserved: The room that the other part has reserved. That many
+                tokens are moved for good; the rest is a loan that counts as
+                outstanding here.
 
         Returns:
             The tokens moved.
@@ -152,34 +167,39 @@
         return moved
 
     def reserve(self) -> float:
-        """Keeps all room for tokens under way; returns how much."""
+        """Reserves all room for requested tokens; returns how much."""
         self.reserved = 0.0
         self.reserved = max(0.0, self.room)
         return self.reserved
 
     def receive(self, lender: Hashable, count: float, reserved: float) -> None:
-        """Adds tokens of another part, in the room kept for them.
+        """Adds tokens of another part and ends the reservation for them.
+
+        Tokens beyond the reserved room are a debt, which the lender counts
+        as outstanding. If an answer is lost, its tokens stay unused.
 
-        What goes over the room counts as outstanding at the lender. An
-        answer that never comes leaves the tokens unused.
+        Args:
+            lender: The other part.
+            count: The tokens received; 0 if there was no answer.
+            reserved: The room that was reserved for them.
         """
         self.reserved = 0.0
         self.level += count
         loan = count - reserved
         if loan > _EPSILON:
             self.debts[lender] = self.debts.get(lender, 0.0) + loan
-        self._clamp()
+        self._drop_excess()
 
     @property
     def can_repay(self) -> bool:
-        """Whether a debt can be lowered now."""
+        """Whether `repay` can lower a debt now."""
         return bool(self.debts) and min(self.room, self._lendable) > _EPSILON
 
     def repay(self, lender: Hashable) -> float:
-        """Lowers a debt by the room there is.
+        """Lowers a debt as far as room and the bound on loans permit.
 
         Returns:
-            What is still owed and has to be declared to the lender.
+            The tokens still owed, which must be reported to the lender.
         """
         owed = self.debts.get(lender, 0.0)
         spare = max(0.0, min(self.room, self._lendable))
@@ -188,26 +208,27 @@
         return left
 
     def void(self, lender: Hashable) -> float:
-        """Gives up tokens of a lender that is gone.
+        """Writes off tokens borrowed from a lender that is gone.
 
         Returns:
-            What cannot be given up yet, as it may be in holders' hands.
+            The tokens that can't be written off yet, as holders may have
+            them.
         """
         owed = self.debts.get(lender, 0.0)
         self.level -= min(self.level, max(0.0, owed - max(0.0, self.room)))
         return self.repay(lender)
 
     def give_back(self, lender: Hashable) -> float:
-        """Takes unspent borrowed tokens off, to be returned to a lender."""
+        """Takes out unspent borrowed tokens to be returned to a lender."""
         unspent = min(self.level, self.debts.get(lender, 0.0))
         self.level -= unspent
         return unspent
 
     def scale_debts(self, factor: float) -> None:
-        """Drops a part of what was borrowed, as each holder does."""
+        """Scales all debts to a lowered burst, as holders scale credit."""
         for lender in list(self.debts):
             self._set_debt(lender, self.debts[lender] * factor)
-        self._clamp()
+        self._drop_excess()
 
     def _set_debt(self, lender: Hashable, owed: float) -> None:
         if owed > _EPSILON:
@@ -217,7 +238,7 @@
 
 
 class Demand:
-    """How many tokens a second were asked for lately."""
+    """An exponentially decaying estimate of tokens requested per second."""
 
     _WINDOW_S = 1.0
 
@@ -226,11 +247,11 @@
         self._at_s = 0.0
 
     def note(self, count: float, now_s: float) -> None:
-        """Adds what was asked for now."""
+        """Adds `count` tokens requested at `now_s`."""
         self._sum = self.rate_per_s(now_s) * self._WINDOW_S + count
         self._at_s = now_s
 
     def rate_per_s(self, now_s: float) -> float:
-        """Returns the recent rate, which fades within some seconds."""
+        """Returns the recent rate, which decays within a few seconds."""
         elapsed_s = max(0.0, now_s - self._at_s)
         return self._sum * math.exp(-elapsed_s / self._WINDOW_S)
--- a/packages/daemon/bulrushdeald/credit.py
+++ b/packages/daemon/bulrushdeald/credit.py
@@ -1,28 +1,32 @@
-"""Messages between holders and owners of credit, and a holder's wallet."""
+"""Messages between holders and owners of credit, and a holder's wallet.
+
+Credit is tokens of a customer's rate limit that the owner of a part has
+granted to a holder: a VM, or the owner of another part.
+"""
 
 import math
 from typing import NamedTuple
 
-# A sum in floating point may miss a whole token by its rounding.
+# Floating-point rounding may leave a sum just under a whole token.
 _EPSILON = 1e-9
 
 
 def compact(count: float) -> float:
-    """Returns a whole number as such: one byte on the wire, not nine."""
+    """Returns whole numbers as `int`: one byte on the wire, not nine."""
     return int(count) if count == int(count) else count
 
 
 class Want(NamedTuple):
-    """What a holder wants of one customer.
+    """What a holder reports and requests for one customer, in tokens.
 
     Attributes:
         customer: The customer.
-        held: What the holder has in hand of this part and epoch.
-        need: Less than this is of no use.
+        held: The credit of this part and epoch that the holder has.
+        need: The least grant that is useful.
         want: The most to grant.
-        returned: Given up unspent since the last message.
-        reserved: Room that an owner has kept in its own part: as much of
-            the grant does not count as held.
+        returned: Credit given back unspent since the last message.
+        reserved: If the holder is an owner, the room that it has reserved in
+            its own part. That much of the grant does not count as held.
     """
 
     customer: str
@@ -34,16 +38,17 @@
 
 
 class CreditAsk(NamedTuple):
-    """Asks the owner of a part for credit, and tells what is held.
+    """Asks the owner of a part for credit, and reports what is held.
 
     Attributes:
         page: The customers' page.
-        failure_domain: Whose part.
-        epoch: Of the owner that the holder means.
-        incarnation: Which run of the holder's process.
-        seq: Grows with each message of this holder about this part.
+        failure_domain: The failure domain of the part.
+        epoch: The owner's epoch as the holder has read it.
+        incarnation: Identifies the run of the holder's process.
+        seq: Increases with each message of this holder about this part.
         wants: One for each customer.
-        for_domain: Set if the holder lends on to its own part's holders.
+        for_domain: The failure domain of the holder's own part, if it lends
+            the credit on to that part's holders; else empty.
         for_epoch: The epoch of that part.
     """
 
@@ -58,15 +63,16 @@
 
 
 class Grant(NamedTuple):
-    """What the owner gives of one customer.
+    """What the owner grants for one customer.
 
     Attributes:
-        granted: Tokens; 0 if what was needed is not there.
-        burst: The row's burst as the owner knows it.
-        again_s: Above 0 if the owner now collects from other parts: when
-            to ask again.
-        wait_s: When the tokens will be there, if nobody else takes them.
-        tight: Whether the owner soon needs to hear what was spent.
+        granted: Tokens; 0 if fewer than `need` are available.
+        burst: The burst in the owner's copy of the row.
+        again_s: In how many seconds to ask again, if the owner is collecting
+            tokens from other parts; else 0.
+        wait_s: In how many seconds the tokens will be available, if no other
+            holder takes them.
+        tight: Whether the owner needs a prompt report of what was spent.
     """
 
     granted: float
@@ -77,11 +83,12 @@
 
 
 class CreditGrants(NamedTuple):
-    """The owner's answer.
+    """The owner's answer to a `CreditAsk`.
 
     Attributes:
-        is_owner: False if the part, in this epoch, is not this VM's.
-        grants: One for each want.
+        is_owner: Whether this VM accepted the message as the part's owner in
+            this epoch. If not, the message had no effect.
+        grants: One for each want, in the same order.
     """
 
     is_owner: bool
@@ -93,8 +100,8 @@
 
     Attributes:
         page: The page.
-        failure_domain: Whose part was taken over.
-        epoch: The new owner's; what is older has to go.
+        failure_domain: The failure domain whose part was taken over.
+        epoch: The new owner's epoch; credit of older epochs is void.
     """
 
     page: int
@@ -103,39 +110,49 @@
 
 
 class CreditDropped(NamedTuple):
-    """Tells whether nothing of older epochs is left."""
+    """The answer to a `CreditDrop`.
+
+    Attributes:
+        is_clean: Whether the VM has no credit of older epochs left.
+    """
 
     is_clean: bool
 
 
 class Source(NamedTuple):
-    """Where credit came from."""
+    """Identifies the part and epoch that granted credit."""
 
     failure_domain: str
     epoch: int
 
 
 class Wallet:
-    """One customer's credit in this VM's hand, by source."""
+    """One customer's credit on this VM, by source.
+
+    Attributes:
+        burst: The row's burst to which the credit was last scaled.
+        touched_s: When credit was last added or spent, in monotonic time.
+        is_tight: Whether an owner asked for a prompt report.
+    """
 
     def __init__(self, burst: float) -> None:
-        # The row's burst when what is in hand was last scaled to it.
         self.burst = burst
         self._held: dict[Source, float] = {}
+        # What each owner may count as held here; infinite if unknown.
         self._declared: dict[Source, float] = {}
         self.touched_s = 0.0
         self.is_tight = False
 
     def held(self, source: Source) -> float:
-        """Returns what is in hand of one source."""
+        """Returns the credit of one source."""
         return self._held.get(source, 0.0)
 
     def total(self) -> float:
-        """Returns what is in hand of all sources."""
+        """Returns the credit of all sources together."""
         return sum(self._held.values())
 
     def sources(self) -> tuple[Source, ...]:
-        """Returns the sources that have or count something in hand."""
+        """Returns sources whose credit is held here or counted as held."""
         return tuple({**self._held, **self._declared})
 
     def add(self, source: Source, count: float) -> None:
@@ -144,7 +161,7 @@
         self._declared[source] = self._declared.get(source, 0.0) + count
 
     def spend(self, count: float, now_s: float) -> bool:
-        """Takes `count` tokens, or none."""
+        """Spends `count` tokens, or none; returns whether they were spent."""
         if self.total() + _EPSILON < count:
             return False
         self.touched_s = now_s
@@ -156,20 +173,20 @@
         return True
 
     def give_up(self, source: Source) -> float:
-        """Empties one source; returns what was in hand."""
+        """Drops the credit of one source; returns how much it was."""
         return self._held.pop(source, 0.0)
 
     def drop_all(self) -> None:
-        """Empties every source."""
+        """Drops the credit of every source."""
         self._held.clear()
 
     def scale(self, factor: float) -> None:
-        """Drops the part of each source that an edited row took away."""
+        """Scales the credit of each source to an edited row's burst."""
         for source, held in list(self._held.items()):
             self._set(source, held * factor)
 
     def declare(self, source: Source) -> float:
-        """Returns what to tell the owner, and notes it as told."""
+        """Returns the credit to report to the owner, recorded as reported."""
         held = self.held(source)
         if held > 0:
             self._declared[source] = held
@@ -178,11 +195,11 @@
         return held
 
     def distrust(self, source: Source) -> None:
-        """Notes that the owner may not have heard what was told last."""
+        """Marks the owner's count of this wallet's credit as unknown."""
         self._declared[source] = math.inf
 
     def is_stale(self, source: Source) -> bool:
-        """Tells whether the owner believes that more is in hand."""
+        """Tells whether the owner may count more credit than is held."""
         declared = self._declared.get(source, 0.0)
         return declared > self.held(source) + _EPSILON
 
--- a/packages/daemon/bulrushdeald/owner.py
+++ b/packages/daemon/bulrushdeald/owner.py
@@ -1,8 +1,8 @@
-"""The part of a page that this VM owns: it grants credit to holders.
+"""The part of a page that this VM owns, from which it grants credit.
 
-Where its tokens are short it collects from the owners of the page's other
-parts, and lends that on. Its own lock guards all of it; no call to a peer
-is made under the lock.
+A part that runs short of tokens borrows from the owners of the page's other
+parts and lends those tokens on to its holders. One lock guards the whole
+part, and no call to a peer is made while it is held.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,22 +17,26 @@
 from bulrushdeald import shares
 from bulrushdeald import shortage
 
-# Credit ahead of need covers the demand of this long.
+# A holder prefetches credit for the expected demand of this many seconds.
 AHEAD_S = 0.2
-# Above this fraction of a part's capacity in holders' hands the owner wants
-# to hear soon what was spent, since its bucket cannot fill meanwhile.
+# An owner that has lent more than this fraction of its capacity asks its
+# holders for prompt reports: its bucket cannot refill until it learns what
+# they have spent.
 _TIGHT_FRACTION = 0.2
-# A slower part loses too little by a late report to be worth a message.
-_TIGHT_PER_S = 0.25
+# A part with a lower rate loses too few tokens by a late report to be worth
+# a message.
+_TIGHT_MIN_RATE_PER_S = 0.25
 _EPSILON = 1e-9
 
 
 class Outflow(NamedTuple):
-    """How much one other part took more than it gave.
+    """The other part that received the most tokens, net of what it gave.
 
     Attributes:
-        failure_domain: Whose part; empty if none did.
-        fraction: Of what the page's rows allow in the same time.
+        failure_domain: The failure domain of that part; empty if no tokens
+            were moved.
+        fraction: The net tokens moved, as a fraction of what the page's rows
+            allow in the same time.
     """
 
     failure_domain: str
@@ -47,7 +51,22 @@
 
 
 class OwnedPart:
-    """The ledgers of one page in one failure domain."""
+    """The token ledgers of one page in one failure domain.
+
+    Attributes:
+        page: The number of the page.
+        part: The part as the page's record describes it.
+        is_closed: Whether this VM has stopped granting from the part.
+        fraction_cap: The fraction of each row that this part uses; below
+            `part.fraction` while a move to another part is being written.
+        drops: The number of calls of `void`. A grant that was requested
+            before the latest call may come from an owner that is gone, so
+            `receive` discards it.
+        last_lender: By customer, the failure domain whose part met its last
+            shortage; guarded by `exchange`.
+        exchange: Held while this part exchanges tokens with another owner,
+            so that it does so with one at a time.
+    """
 
     def __init__(
         self,
@@ -59,7 +78,6 @@
         self.page = page
         self.part = part
         self.is_closed = False
-        # A donor lowers itself before the record says so.
         self.fraction_cap = part.fraction
         self._clock = clock
         self._opening_of = opening_of
@@ -67,46 +85,46 @@
         self._rows: Mapping[str, records.Customer] = {}
         self._ledgers: dict[str, bucket.Ledger] = {}
         self._demands: dict[str, bucket.Demand] = {}
-        self._holders = holders.Holders(self._forget_credit)
+        self._holders = holders.Holders(self._clear_outstanding)
         self._shortages = shortage.Shortages()
-        # What a lender may believe to be out here, though it is not.
-        self._unsure: dict[credit.Source, set[str]] = {}
-        # Counts drops asked of this VM; an answer to what was asked before
-        # one may bring credit of an owner that is gone, and is void.
+        # The customers of which a lender may count more tokens as lent to
+        # this part than it has.
+        self._unsettled: dict[credit.Source, set[str]] = {}
         self.drops = 0
-        # The revision that a move of fractions was written over, if any.
-        self._moving_over = 0
-        self._flows: dict[str, float] = {}
-        self._flows_since_s = clock.monotonic_s()
-        # Which part met a customer's shortage last; guarded by `exchange`.
+        # The revision of the record that an unfinished move of fractions
+        # replaces; 0 if there is none.
+        self._move_base_revision = 0
+        # Tokens moved to each other part less those received from it.
+        self._net_outflows: dict[str, float] = {}
+        self._net_outflows_since_s = clock.monotonic_s()
         self.last_lender: dict[str, str] = {}
-        # One exchange of this part with the other owners at a time.
         self.exchange = threading.Lock()
 
     @property
     def source(self) -> credit.Source:
-        """Names this part's credit."""
+        """The source that identifies credit granted by this part."""
         return credit.Source(self.part.failure_domain, self.part.epoch)
 
     def set_part(self, part: shares.Part) -> None:
-        """Puts a newer record of the same epoch in force."""
+        """Applies a newer record of the same epoch."""
         with self._lock:
             if part.fraction != self.part.fraction:
-                self._moving_over = 0
+                self._move_base_revision = 0
             self.part = part
-            if not self._moving_over:
+            if not self._move_base_revision:
                 self.fraction_cap = part.fraction
             self._set_terms()
 
     def lower_fraction(self, fraction: float, revision: int) -> bool:
-        """Gives up a part of the fraction before the record says so.
+        """Lowers this part's fraction before the record is changed.
 
         Args:
-            fraction: What to keep.
-            revision: Of the record that the move is written over.
+            fraction: The fraction to keep.
+            revision: The revision of the record that the move replaces.
 
         Returns:
-            Whether no customer has too much out for that now.
+            Whether the fraction was lowered; it is not while more of a
+            customer's tokens are lent than the lower fraction allows.
         """
         with self._lock:
             scale = fraction / self.part.fraction
@@ -117,30 +135,30 @@
                 if ledger.lent > shares.lendable(least):
                     return False
             self.fraction_cap = fraction
-            self._moving_over = revision
+            self._move_base_revision = revision
             self._set_terms()
             return True
 
     def is_moving(self, revision: int) -> bool:
-        """Tells whether a move may still be written over a revision."""
+        """Tells whether a move that replaces `revision` is unfinished."""
         with self._lock:
-            return self._moving_over == revision
+            return self._move_base_revision == revision
 
     def end_move(self) -> None:
-        """Takes back what a move gave up that was not and will not be."""
+        """Abandons an unfinished move, if any, and restores the fraction."""
         with self._lock:
-            if self._moving_over:
-                self._moving_over = 0
+            if self._move_base_revision:
+                self._move_base_revision = 0
                 self.fraction_cap = self.part.fraction
                 self._set_terms()
 
     def greatest_outflow(self) -> Outflow:
-        """Returns which part took most since the last call."""
+        """Returns the greatest net outflow since the last call."""
         with self._lock:
             now_s = self._clock.monotonic_s()
-            elapsed_s = now_s - self._flows_since_s
-            flows, self._flows = self._flows, {}
-            self._flows_since_s = now_s
+            elapsed_s = now_s - self._net_outflows_since_s
+            flows, self._net_outflows = self._net_outflows, {}
+            self._net_outflows_since_s = now_s
             rate_per_s = sum(row.rate_per_s for row in self._rows.values())
             allowed = elapsed_s * rate_per_s
             if not flows or allowed <= 0:
@@ -148,31 +166,31 @@
             name = max(flows, key=lambda domain: flows[domain])
             return Outflow(name, flows[name] / allowed)
 
-    def _note_flow(self, failure_domain: str, count: float) -> None:
-        before = self._flows.get(failure_domain, 0.0)
-        self._flows[failure_domain] = before + count
+    def _add_outflow(self, failure_domain: str, count: float) -> None:
+        before = self._net_outflows.get(failure_domain, 0.0)
+        self._net_outflows[failure_domain] = before + count
 
     def set_rows(self, rows: Mapping[str, records.Customer]) -> None:
-        """Puts the page's rows in force."""
+        """Applies the page's customer rows."""
         with self._lock:
             for name, row in rows.items():
                 before = self._rows.get(name)
                 if before is not None and row.burst < before.burst:
                     factor = row.burst / before.burst
-                    self._doubt_debts(name)
+                    self._mark_debts_unsettled(name)
                     self._ledgers[name].scale_debts(factor)
             self._rows = dict(rows)
             self._set_terms()
 
-    def _doubt_debts(self, customer: str) -> None:
+    def _mark_debts_unsettled(self, customer: str) -> None:
         for source in self._ledgers[customer].debts:
             assert isinstance(source, credit.Source)
-            self._unsure.setdefault(source, set()).add(customer)
+            self._unsettled.setdefault(source, set()).add(customer)
 
     def _set_terms(self) -> None:
         now_s = self._clock.monotonic_s()
-        # The ledger of a deleted row stays: a row of the same name, made
-        # again at once, must not find a fresh bucket.
+        # The ledger of a deleted row stays: a customer that is deleted and
+        # created again at once must not start with a fresh bucket.
         for name in {**self._rows, **self._ledgers}:
             terms = self._terms(self._rows.get(name))
             ledger = self._ledgers.get(name)
@@ -183,15 +201,16 @@
                 ledger.change(terms, now_s)
 
     def _opening_tokens(self, customer: str) -> float:
-        """Returns what this part of a new customer's row begins with.
-
-        The failure: an owner takes a row that is not new to the fleet for a
-        new one and fills its bucket, though others have granted its tokens.
-        So the row says itself which epoch of each part may fill it, as of
-        before it was made: an earlier owner was gone by then, a later one
-        has another epoch, and this one fills only a ledger it never had.
-        The fractions are those of one record, so all parts together begin
-        with one burst at most, however fractions move meanwhile.
+        """Returns the tokens that a new customer's bucket starts with here.
+
+        An owner that takes an older row for a new one would fill its bucket
+        although other owners have granted those tokens already. The opening
+        therefore names, for each part, the one epoch that may fill the
+        bucket, as of just before the row was created. Earlier owners were
+        gone by then, later owners have another epoch, and the named owner
+        fills only a ledger that it has just created. All fractions come from
+        one record, so all parts together start with at most one burst, even
+        if fractions move in the meantime.
         """
         opening = self._opening_of(customer)
         row = self._rows.get(customer)
@@ -214,7 +233,7 @@
         )
 
     def answer(self, vm: str, ask: credit.CreditAsk) -> credit.CreditGrants:
-        """Answers a holder; never waits."""
+        """Answers a holder's request for credit without blocking on I/O."""
         with self._lock:
             if self.is_closed or ask.epoch != self.part.epoch:
                 return credit.CreditGrants(False)
@@ -240,8 +259,8 @@
             return self._transfer(name, want, row, ledger)
         demand = self._demands.setdefault(want.customer, bucket.Demand())
         demand.note(want.need, now_s)
-        # Half of what is left may go out ahead of need; the rest stays for
-        # the other holders.
+        # At most half of what remains is granted in advance; the rest stays
+        # for the other holders.
         spare = max(0.0, ledger.grantable() - want.need) / 2
         most = max(want.need, min(want.want, want.need + spare))
         granted = ledger.grant(name, want.need, most)
@@ -257,7 +276,7 @@
         self._shortages.note_room(row, room_fraction, now_s)
         tight = (
             ledger.lent > _TIGHT_FRACTION * ledger.capacity
-            and ledger.terms.rate_per_s > _TIGHT_PER_S
+            and ledger.terms.rate_per_s > _TIGHT_MIN_RATE_PER_S
         )
         return credit.Grant(
             credit.compact(granted),
@@ -274,39 +293,49 @@
         row: records.Customer,
         ledger: bucket.Ledger,
     ) -> credit.Grant:
-        # What a waiting request lacks, or so much that both parts have the
-        # same room left: a part that is full loses what its rate gives.
-        even = (want.reserved - max(0.0, ledger.room)) / 2
-        most = min(want.want, max(want.need, even))
+        # Moves what a waiting request lacks, or enough to leave equal room
+        # in both parts: a full part loses the tokens that its rate adds.
+        equalizing = (want.reserved - max(0.0, ledger.room)) / 2
+        most = min(want.want, max(want.need, equalizing))
         moved = ledger.transfer(name, most, want.reserved)
-        self._note_flow(name.for_domain, moved)
+        self._add_outflow(name.for_domain, moved)
         return credit.Grant(credit.compact(moved), credit.compact(row.burst))
 
     def shortages(self) -> tuple[shortage.Shortage, ...]:
-        """Returns what waiting requests lack, and begins a collection."""
+        """Starts a collection; returns what waiting requests lack."""
         with self._lock:
             return self._shortages.begin(self._clock.monotonic_s())
 
     def collection_ended(self) -> None:
-        """Notes that what was found is there and the rest is not."""
+        """Ends the collection that `shortages` started."""
         with self._lock:
             self._shortages.end()
 
     def collected(self, customer: str, asked: int) -> None:
-        """Notes that a shortage was met by asking so many other parts."""
+        """Records that a collection met a customer's shortage.
+
+        Args:
+            customer: The customer.
+            asked: How many other parts were asked for tokens.
+        """
         with self._lock:
             burst = self._ledgers[customer].terms.burst
             self._shortages.met(customer, asked, burst)
 
     def low(self) -> tuple[shortage.Shortage, ...]:
-        """Returns customers asked for lately whose level is low."""
+        """Returns customers with recent requests and a low level."""
         with self._lock:
             return self._shortages.low(self._clock.monotonic_s())
 
     def want(
         self, source: credit.Source, lacking: shortage.Shortage
     ) -> credit.Want:
-        """Returns what to ask another part for, and keeps room for it."""
+        """Returns a request to another part and reserves room for the answer.
+
+        Args:
+            source: The part to ask.
+            lacking: The customer and the tokens that it lacks.
+        """
         with self._lock:
             ledger = self._ledgers[lacking.customer]
             ledger.accrue(self._clock.monotonic_s())
@@ -327,16 +356,18 @@
         grant: credit.Grant | None,
         drops: int,
     ) -> float:
-        """Adds what another part granted, unless it is void.
+        """Adds the tokens that another part granted.
 
         Args:
             source: The other part.
-            want: What was asked.
-            grant: What its owner answered; `None` if there is no answer.
-            drops: The count of drops when the owner was asked.
+            want: What was requested.
+            grant: The other owner's answer; `None` if there was none.
+            drops: The value of `drops` when the request was sent. If it has
+                changed since, the grant is discarded.
 
         Returns:
-            How many tokens that is under the row known here.
+            The tokens added, scaled down if this VM's row has a lower burst
+            than the lender's.
         """
         with self._lock:
             ledger = self._ledgers[want.customer]
@@ -346,25 +377,26 @@
                 factor = row.burst / grant.burst if grant.burst else 0.0
                 count = grant.granted * min(1.0, factor)
             ledger.receive(source, count, want.reserved)
-            self._note_flow(source.failure_domain, -count)
+            self._add_outflow(source.failure_domain, -count)
             if grant is None or grant.granted > want.reserved:
-                # The lender counts a loan that is smaller here, or that a
-                # lost answer never brought; it has to be told, or it keeps
-                # its bucket that much emptier for good.
-                self._unsure.setdefault(source, set()).add(want.customer)
+                # The lender may count a larger loan than this part has: the
+                # answer was lost or the loan scaled down. Unless this part
+                # reports the true figure, the lender's bucket stays short
+                # of those tokens for good.
+                self._unsettled.setdefault(source, set()).add(want.customer)
             return count
 
     def owed(self, source: credit.Source, customer: str) -> float:
-        """Lowers a debt as far as it goes; returns what is left."""
+        """Repays a debt as far as possible; returns the tokens still owed."""
         with self._lock:
             ledger = self._ledgers.get(customer)
             return 0.0 if ledger is None else ledger.repay(source)
 
     def debts(self) -> dict[credit.Source, set[str]]:
-        """Returns the customers to settle, by source."""
+        """Returns, by lender, the customers whose debts to report to it."""
         with self._lock:
             found = {
-                source: set(names) for source, names in self._unsure.items()
+                source: set(names) for source, names in self._unsettled.items()
             }
             for name, ledger in self._ledgers.items():
                 for source in ledger.debts:
@@ -373,17 +405,21 @@
             return found
 
     def can_repay(self) -> bool:
-        """Tells whether a lender counts what it need not any more."""
+        """Tells whether any debt can be lowered now."""
         with self._lock:
             return any(ledger.can_repay for ledger in self._ledgers.values())
 
     def settled(self, source: credit.Source) -> None:
-        """Notes that a lender knows what is out here."""
+        """Records that a lender has received this part's current debts."""
         with self._lock:
-            self._unsure.pop(source, None)
+            self._unsettled.pop(source, None)
 
     def give_back(self, source: credit.Source, customer: str) -> float:
-        """Takes off what is unspent of a debt, if demand has gone."""
+        """Takes unspent borrowed tokens out, if demand is under 1 token/s.
+
+        Returns:
+            The tokens to return to the lender.
+        """
         with self._lock:
             now_s = self._clock.monotonic_s()
             demand = self._demands.get(customer)
@@ -392,10 +428,14 @@
             return self._ledgers[customer].give_back(source)
 
     def void(self, failure_domain: str, epoch: int) -> bool:
-        """Gives up credit of a part's epochs before `epoch`.
+        """Writes off tokens borrowed from earlier epochs of another part.
+
+        Args:
+            failure_domain: The failure domain of the other part.
+            epoch: Tokens borrowed in epochs before this one are written off.
 
         Returns:
-            Whether nothing of it is left, here or with holders.
+            Whether none of those tokens are left here or with holders.
         """
         with self._lock:
             self.drops += 1
@@ -410,16 +450,16 @@
             return left <= _EPSILON
 
     def sweep(self, is_gone: Callable[[str], bool], page: shares.Page) -> None:
-        """Takes back what holders had that are gone for certain."""
+        """Stops counting the credit of holders that are certainly gone."""
         with self._lock:
             self._holders.sweep(is_gone, page)
 
-    def _forget_credit(self, name: holders.HolderName) -> None:
+    def _clear_outstanding(self, name: holders.HolderName) -> None:
         for ledger in self._ledgers.values():
             ledger.outstanding.pop(name, None)
 
     def close(self) -> bool:
-        """Ends granting for good; tells whether holders have nothing."""
+        """Stops granting for good; tells whether no credit is lent."""
         with self._lock:
             self.is_closed = True
             return all(
--- a/packages/daemon/bulrushdeald/ownership.py
+++ b/packages/daemon/bulrushdeald/ownership.py
@@ -1,4 +1,4 @@
-"""Which parts this VM owns: claims, takeovers, hand-over, clearing."""
+"""Claims, takes over, releases and clears the parts that this VM owns."""
 
 import functools
 import itertools
@@ -19,24 +19,27 @@
 
 _log = logs.Log("limits")
 
-# Lists of VMs that different VMs read may differ by a few readings: an owner
-# must be missing for this long before it counts as gone.
+# An owner counts as gone after it has been missing from the list of VMs for
+# this long, since the lists of different VMs may be a few polls apart.
 MISSING_S = 6.0
-# The next candidate claims this much later, if the first does not.
+# How much later each further candidate claims a part that is still vacant.
 CLAIM_STEP_S = 2.0
 _DROP_TIMEOUT_S = 0.5
 _CLAIM_TRIES = 4
 
 
 class Vacancy(NamedTuple):
-    """A part whose owner is not there."""
+    """A part that has no running owner, and its page."""
 
     page: int
     part: shares.Part
 
 
 class Ownership:
-    """Follows the records and the platform's list of VMs."""
+    """Keeps the parts this VM owns in line with the records.
+
+    It claims parts without a running owner, by the platform's list of VMs.
+    """
 
     def __init__(
         self,
@@ -58,20 +61,20 @@
         self._nonces = itertools.count(1)
         self._lock = threading.Lock()
         self._owned: dict[tuple[int, str], owner.OwnedPart] = {}
-        self._since_s: dict[Vacancy, float] = {}
-        self._seen: set[str] = set()
-        self._unclean: dict[tuple[int, str], str] = {}
+        self._vacant_since_s: dict[Vacancy, float] = {}
+        self._ever_listed: set[str] = set()
+        self._last_unclean_vm: dict[tuple[int, str], str] = {}
         self._is_closed = False
-        self._told_parts = 0
-        # Failure domains that start together begin at different pages, so
-        # that their claims seldom meet.
+        self._logged_part_count = 0
+        # Each failure domain claims pages from a different first page, so
+        # that domains that start together seldom write the same record.
         first = shares.page_of(self._own.failure_domain)
         pages = list(range(shares.PAGES))
-        self._order = pages[first:] + pages[:first]
+        self._page_order = pages[first:] + pages[:first]
 
     @property
     def failure_domain(self) -> str:
-        """Where this VM stands."""
+        """The failure domain of this VM."""
         return self._own.failure_domain
 
     def owned(self) -> tuple[owner.OwnedPart, ...]:
@@ -89,19 +92,19 @@
         return [owned for owned in self.owned() if owned.page == page]
 
     def adopt(self) -> None:
-        """Begins to own what the records say, and nothing else."""
+        """Makes this VM own exactly the parts that the records give it."""
         if self._is_closed:
             return
         for number in range(shares.PAGES):
             stored = self._book.get(number)
             for part in stored.page.parts if stored else ():
-                self._adopt(number, part)
+                self._apply_record(number, part)
         parts = len(self.owned())
-        if parts != self._told_parts:
-            self._told_parts = parts
+        if parts != self._logged_part_count:
+            self._logged_part_count = parts
             _log.info("Owns %d parts.", parts)
 
-    def _adopt(self, number: int, part: shares.Part) -> None:
+    def _apply_record(self, number: int, part: shares.Part) -> None:
         key = (number, part.failure_domain)
         is_mine = (
             part.vm == self._own.vm and part.incarnation == self._incarnation
@@ -115,53 +118,55 @@
             return
         if owned is None or owned.part.epoch < part.epoch:
             owned = owner.OwnedPart(number, part, self._clock, self._opening_of)
-            self._rows.publish(owned, functools.partial(self._keep, owned))
+            self._rows.publish(owned, functools.partial(self._add_owned, owned))
         elif owned.part != part:
             owned.set_part(part)
 
-    def _keep(self, owned: owner.OwnedPart) -> None:
+    def _add_owned(self, owned: owner.OwnedPart) -> None:
         part = owned.part
         with self._lock:
             self._owned[(owned.page, part.failure_domain)] = owned
 
     def claim(self) -> None:
-        """Takes parts that nobody owns, and makes records that lack."""
+        """Claims vacant parts, and creates the records that are missing."""
         if not self._book.is_loaded or self._is_closed:
             return
         waiting: set[Vacancy] = set()
-        for number in self._order:
+        for number in self._page_order:
             for vacancy in self._vacancies(number):
                 waiting.add(vacancy)
                 if self._is_due(vacancy):
-                    self._claim_part(vacancy)
-        for vacancy in set(self._since_s) - waiting:
-            del self._since_s[vacancy]
-
-    def _claim_part(self, vacancy: Vacancy) -> None:
-        # Another failure domain's claim on the same page wins the write
-        # when a fleet starts; to wait for the next round each time would
-        # leave a part without an owner for as many seconds as domains.
+                    self._claim_with_retries(vacancy)
+        for vacancy in set(self._vacant_since_s) - waiting:
+            del self._vacant_since_s[vacancy]
+
+    def _claim_with_retries(self, vacancy: Vacancy) -> None:
+        # When a fleet starts, another failure domain's claim on the same page
+        # may win the write. Waiting for the next round (1 s) after each lost
+        # write would leave a part without an owner for as many seconds as
+        # there are failure domains.
         for _ in range(_CLAIM_TRIES):
-            if self._claim(vacancy) != "no":
+            if self._write_claim(vacancy) != "no":
                 return
             if vacancy not in self._vacancies(vacancy.page):
                 return
 
     def _vacancies(self, number: int) -> list[Vacancy]:
-        parts = self._stored(number).page.parts
+        parts = self._record_or_first(number).page.parts
         own = self._own.failure_domain
         if all(part.failure_domain != own for part in parts):
-            # A failure domain that is new: it begins by borrowing.
+            # The part of a new failure domain starts with no fraction of
+            # its own and borrows all its tokens.
             parts = (*parts, shares.Part(own, 0.0))
         return [Vacancy(number, p) for p in parts if self._is_vacant(p)]
 
-    def _stored(self, number: int) -> sharebook.Stored:
+    def _record_or_first(self, number: int) -> sharebook.Stored:
         return self._book.get(number) or sharebook.Stored(self._first_page(), 0)
 
     def _is_vacant(self, part: shares.Part) -> bool:
         if part.vm == self._own.vm:
-            # The peer port is bound exclusively, so an earlier process of
-            # this VM is gone.
+            # This process has bound the VM's peer port exclusively, so any
+            # earlier process of the VM is gone.
             return part.incarnation != self._incarnation
         return not part.vm or not self._membership.is_listed(part.vm)
 
@@ -175,12 +180,12 @@
 
     def _is_due(self, vacancy: Vacancy) -> bool:
         now_s = self._clock.monotonic_s()
-        since_s = self._since_s.setdefault(vacancy, now_s)
+        since_s = self._vacant_since_s.setdefault(vacancy, now_s)
         part = vacancy.part
         if part.vm == self._own.vm:
             return True
         candidates = self._candidates(part.failure_domain)
-        # A failure domain without VMs is looked after by the others.
+        # VMs of other failure domains own the part of a domain without VMs.
         names = [vm.vm for vm in candidates or self._candidates("")]
         order = shares.rank(f"{vacancy.page}/{part.failure_domain}", names)
         if self._own.vm not in order:
@@ -190,20 +195,20 @@
             delay_s += MISSING_S
         return now_s - since_s >= delay_s
 
-    def _claim(self, vacancy: Vacancy) -> sharebook.Written:
-        stored = self._stored(vacancy.page)
+    def _write_claim(self, vacancy: Vacancy) -> sharebook.Written:
+        stored = self._record_or_first(vacancy.page)
         part = vacancy.part
         name = part.failure_domain
         if (stored.page.part(name) or shares.Part(name, 0.0)) != part:
-            # The record or the list of VMs changed since the part was seen
-            # to be vacant. Its fraction as of then, written beside the
-            # others as of now, could make them more than the row.
+            # The record or the list of VMs has changed since the part was
+            # found vacant. Writing its old fraction beside the other parts'
+            # new ones could make the fractions add up to more than 1.
             return "no"
         mine = part._replace(
             vm=self._own.vm,
             incarnation=self._incarnation,
             epoch=part.epoch + 1,
-            # What the lost owner had granted may still be in hands.
+            # Holders may still have credit that the lost owner granted.
             takeovers=part.takeovers + (1 if part.vm else 0),
         )
         page = stored.page.with_part(mine, self.nonce())
@@ -218,10 +223,10 @@
         return shares.Page(parts)
 
     def parts(self, number: int) -> tuple[shares.Part, ...]:
-        """Returns a page's parts; makes its record if there is none.
+        """Returns a page's parts; creates its record if there is none.
 
         Returns:
-            Nothing if there is no record and none can be written.
+            The parts; empty if there is no record and none could be written.
         """
         if self._book.get(number) is None:
             page = self._first_page()._replace(nonce=self.nonce())
@@ -230,22 +235,23 @@
         return () if stored is None else stored.page.parts
 
     def nonce(self) -> str:
-        """Returns a name for one write."""
+        """Returns a unique identifier for one write of a record."""
         return f"{self._incarnation}/{next(self._nonces)}"
 
     def is_gone(self, vm: str) -> bool:
-        """Tells whether a VM was listed once and is not any more.
+        """Tells whether a VM was listed before and no longer is.
 
-        It does not run then, and what still arrives from it is void. A VM
-        too new for the lagging list was never seen there, and may run.
+        Such a VM has stopped, and messages that still arrive from it are
+        ignored. A VM that was never listed may be running: the list lags
+        behind and may not contain it yet.
         """
         if self._membership.is_listed(vm):
-            self._seen.add(vm)
+            self._ever_listed.add(vm)
             return False
-        return vm in self._seen
+        return vm in self._ever_listed
 
     def sweep(self) -> None:
-        """Takes back the credit of holders that are gone."""
+        """Stops counting the credit of holders that are gone."""
         for vm in self._membership.entry_vms():
             self.is_gone(vm.vm)
         for owned in self.owned():
@@ -254,24 +260,28 @@
                 owned.sweep(self.is_gone, stored.page)
 
     def clear(self) -> None:
-        """Asks all VMs to drop what lost owners granted."""
+        """Asks all VMs to drop the credit that lost owners granted.
+
+        Once all have, the part counts no takeovers and has its full capacity.
+        """
         for owned in self.owned():
-            if owned.part.takeovers and self._all_dropped(owned):
+            if owned.part.takeovers and self._is_dropped_everywhere(owned):
                 self._set_cleared(owned)
 
-    def _all_dropped(self, owned: owner.OwnedPart) -> bool:
+    def _is_dropped_everywhere(self, owned: owner.OwnedPart) -> bool:
         part = owned.part
         key = (owned.page, part.failure_domain)
         drop = credit.CreditDrop(owned.page, part.failure_domain, part.epoch)
         names = [vm.vm for vm in self._membership.entry_vms()]
-        # All are asked again in each round: one that was not clean, or is
-        # lost during the round, may have lent on credit to one asked before.
-        # The one that failed last goes first: the round is likely vain.
-        names.sort(key=lambda vm: vm != self._unclean.get(key, ""))
+        # Every round asks all VMs again: one that still had such credit, or
+        # is lost during the round, may have lent it on to one asked earlier.
+        # The VM that failed the last round goes first, as it is the most
+        # likely to fail this one.
+        names.sort(key=lambda vm: vm != self._last_unclean_vm.get(key, ""))
         for vm in names:
             answer = self._peers.call(vm, drop, _DROP_TIMEOUT_S)
             if isinstance(answer, result.Err) or not answer.ok_value.is_clean:
-                self._unclean[key] = vm
+                self._last_unclean_vm[key] = vm
                 return False
         return True
 
@@ -285,7 +295,7 @@
         self._book.put(owned.page, page, stored.revision)
 
     def close(self) -> None:
-        """Hands all parts over to nobody in particular."""
+        """Stops granting and marks all owned parts as vacant."""
         self._is_closed = True
         for owned in self.owned():
             is_empty = owned.close()
--- a/packages/daemon/bulrushdeald/shares.py
+++ b/packages/daemon/bulrushdeald/shares.py
@@ -1,7 +1,8 @@
-"""How a customer page's limits are split between failure domains.
+"""The records that split customers' limits between failure domains.
 
-The platform's key-value service holds one record for each page. A record
-changes only by compare-and-swap, and a part has one owner at a time.
+Customers are hashed onto pages, and the platform's key-value service holds
+one record for each page. A record changes only by compare-and-swap, and a
+part has at most one owner at a time.
 """
 
 from collections.abc import Iterable
@@ -14,28 +15,30 @@
 
 PAGES = 64
 PREFIX = "limits/"
-# At most this much of a part's capacity may be in the holders' hands, so
-# that a new owner knows a bound on what it cannot see.
+# At most this fraction of a part's capacity may be lent to holders, which
+# bounds the credit that a new owner has no record of.
 OUTSTANDING_FRACTION = 0.5
-# But a whole request's token may always be out, where capacity allows.
+# The token of one whole request may always be lent, if the capacity is as
+# much.
 OUTSTANDING_MIN = 1.0
 
 
 class ShareError(Exception):
-    """A record in the platform's service cannot be read."""
+    """A limits record in the key-value service can't be decoded."""
 
 
 class Part(NamedTuple):
     """One failure domain's part of every row on a page.
 
     Attributes:
-        failure_domain: Whose VMs it is for.
-        fraction: Of each row's rate and burst; over a page at most 1.
-        vm: The owner; empty if nobody owns it.
-        incarnation: Which run of the owner's process.
-        epoch: Grows with each owner; credit of an older epoch is void.
-        takeovers: Owners lost whose credit may still be in somebody's
-            hands, because not every listed VM has said that it dropped it.
+        failure_domain: The failure domain whose VMs the part serves.
+        fraction: The part's fraction of each row's rate and burst; the
+            fractions of a page add up to at most 1.
+        vm: The owner; empty if the part has none.
+        incarnation: Identifies the run of the owner's process.
+        epoch: Increases with each owner; credit of older epochs is void.
+        takeovers: The number of lost owners whose credit may still be held,
+            because not every listed VM has confirmed that it dropped it.
     """
 
     failure_domain: str
@@ -50,16 +53,16 @@
     """The record of one page.
 
     Attributes:
-        parts: One for each failure domain, by name.
-        nonce: Differs with each write, so that a writer whose answer was
-            lost can tell its own value from another's.
+        parts: One for each failure domain, sorted by its name.
+        nonce: Differs with each write, so that a writer that got no answer
+            can recognize its own value.
     """
 
     parts: tuple[Part, ...]
     nonce: str = ""
 
     def part(self, failure_domain: str) -> Part | None:
-        """Returns a failure domain's part."""
+        """Returns a failure domain's part; `None` if it has none."""
         for part in self.parts:
             if part.failure_domain == failure_domain:
                 return part
@@ -77,14 +80,14 @@
 
 
 @functools.lru_cache(maxsize=1 << 15)
-def _hash(customer: str) -> int:
+def _customer_hash(customer: str) -> int:
     digest = hashlib.sha256(customer.encode()).digest()
     return int.from_bytes(digest[:2], "big")
 
 
 def page_of(customer: str) -> int:
-    """Returns the page that a customer's row stands on."""
-    return _hash(customer) % PAGES
+    """Returns the number of the page that a customer's row belongs to."""
+    return _customer_hash(customer) % PAGES
 
 
 def key_of(page: int) -> str:
@@ -93,7 +96,7 @@
 
 
 def page_of_key(key: str) -> int:
-    """Returns the page that a record's key names."""
+    """Returns the page number in a record's key."""
     return int(key.removeprefix(PREFIX))
 
 
@@ -103,19 +106,19 @@
 
 
 def from_bytes(value: bytes) -> Page:
-    """Reads a record.
+    """Decodes a record.
 
     Raises:
-        ShareError: The value is not a record.
+        ShareError: The value is not a valid record.
     """
     try:
         return codec.from_plain(Page, json.loads(value))
     except (ValueError, codec.CodecError) as error:
-        raise ShareError(f"not a record of limits: {error}") from error
+        raise ShareError(f"invalid limits record: {error}") from error
 
 
 def rank(name: str, vms: Iterable[str]) -> list[str]:
-    """Orders VMs for a part by rendezvous hashing."""
+    """Orders VMs by rendezvous hashing, as candidates for `name`."""
 
     def weight(vm: str) -> bytes:
         return hashlib.sha256(f"{name}|{vm}".encode()).digest()
@@ -124,16 +127,19 @@
 
 
 def lendable(capacity: float) -> float:
-    """Returns how much of a part's capacity may be in holders' hands."""
+    """Returns how much of a part's capacity may be lent to holders."""
     most = max(capacity * OUTSTANDING_FRACTION, OUTSTANDING_MIN)
     return min(capacity, most)
 
 
 def capacity(burst: float, takeovers: int) -> float:
-    """Returns what an owner may count on beside credit that it cannot see.
+    """Returns the tokens of a part less credit its owner has no record of.
 
-    Each owner before it that was lost may have left `lendable` of its own
-    capacity with holders.
+    Each lost owner may have lent `lendable` of its own capacity to holders.
+
+    Args:
+        burst: The part's share of the row's burst.
+        takeovers: The number of lost owners; see `Part`.
     """
     left = burst
     for _ in range(takeovers):
