--- a/packages/daemon/bulrushdeald/owner.py
+++ b/packages/daemon/bulrushdeald/owner.py
@@ -269,7 +269,7 @@
         wait_s = 0.0
         if granted <= 0:
             wait_s = (want.need - left) / (row.rate_per_s or _EPSILON)
-            again_s = self._shortages.plan(
+            again_s = self._shortages.add_missing(
                 want.customer, want.need - left, now_s
             )
         room_fraction = ledger.room / max(ledger.capacity, _EPSILON)
@@ -304,12 +304,12 @@
     def shortages(self) -> tuple[shortage.Shortage, ...]:
         """Starts a collection; returns what waiting requests lack."""
         with self._lock:
-            return self._shortages.begin(self._clock.monotonic_s())
+            return self._shortages.begin_collection(self._clock.monotonic_s())
 
     def collection_ended(self) -> None:
         """Ends the collection that `shortages` started."""
         with self._lock:
-            self._shortages.end()
+            self._shortages.end_collection()
 
     def collected(self, customer: str, asked: int) -> None:
         """Records that a collection met a customer's shortage.
@@ -320,12 +320,12 @@
         """
         with self._lock:
             burst = self._ledgers[customer].terms.burst
-            self._shortages.met(customer, asked, burst)
+            self._shortages.note_met(customer, asked, burst)
 
     def low(self) -> tuple[shortage.Shortage, ...]:
         """Returns customers with recent requests and a low level."""
         with self._lock:
-            return self._shortages.low(self._clock.monotonic_s())
+            return self._shortages.take_low(self._clock.monotonic_s())
 
     def want(
         self, source: credit.Source, lacking: shortage.Shortage
--- a/packages/daemon/bulrushdeald/sharebook.py
+++ b/packages/daemon/bulrushdeald/sharebook.py
@@ -1,4 +1,4 @@
-"""The records of `limits/` as this VM has read them last."""
+"""This VM's copy of the `limits/` records in the key-value service."""
 
 import threading
 from typing import Literal, NamedTuple
@@ -16,17 +16,20 @@
 
 
 class Stored(NamedTuple):
-    """A record and the revision that it was read with."""
+    """A record and its revision."""
 
     page: shares.Page
     revision: int
 
 
 class ShareBook:
-    """Reads, follows and writes the records.
+    """Reads, watches and writes the records.
 
-    While the platform is out the records read last stay in force; nothing
-    in them lapses.
+    While the platform is unavailable, the records that were read last stay
+    in force, as nothing in them expires.
+
+    Attributes:
+        is_loaded: Whether all records have been read from the platform.
     """
 
     def __init__(self, keyvalue: services.KeyValue) -> None:
@@ -36,12 +39,12 @@
         self.is_loaded = False
 
     def get(self, page: int) -> Stored | None:
-        """Returns a page's record, `None` if none was read."""
+        """Returns a page's record; `None` if there is none."""
         with self._lock:
             return self._stored.get(page)
 
     def part(self, page: int, failure_domain: str) -> shares.Part | None:
-        """Returns one part, `None` if none was read."""
+        """Returns one part of a page; `None` if there is none."""
         stored = self.get(page)
         return None if stored is None else stored.page.part(failure_domain)
 
@@ -50,47 +53,59 @@
         entries = self._keyvalue.list(shares.PREFIX)
         if isinstance(entries, result.Err):
             return False
-        self.note(entries.ok_value)
+        self.merge(entries.ok_value)
         self.is_loaded = True
         return True
 
     def follow(self, timeout_s: float) -> bool:
-        """Waits for changes; returns whether the platform answered."""
+        """Waits for changes and applies them.
+
+        Args:
+            timeout_s: How long to wait for a change.
+
+        Returns:
+            Whether the platform answered.
+        """
         if not self.is_loaded:
             return self.refresh()
         with self._lock:
             newest = max((s.revision for s in self._stored.values()), default=0)
         entries = self._keyvalue.watch(shares.PREFIX, newest, timeout_s)
         if isinstance(entries, result.Err):
-            # Changes may have been missed, and a record whose write had
-            # no answer is settled by reading it.
+            # Changes may have been missed. Reading all records also shows
+            # whether a write that got no answer took effect.
             return self.refresh()
-        self.note(entries.ok_value)
+        self.merge(entries.ok_value)
         return True
 
     def put(self, number: int, page: shares.Page, revision: int) -> Written:
-        """Writes a page if its revision is as read.
+        """Writes a page's record if its revision is unchanged.
+
+        Args:
+            number: The number of the page.
+            page: The new record.
+            revision: The revision that the record replaces.
 
         Returns:
-            Whether it was written; if that is unknown, the next reading
-            tells what the record holds.
+            Whether it was written. If that is unknown, the next read shows
+            what the record contains.
         """
         value = shares.to_bytes(page)
         written = self._keyvalue.put(shares.key_of(number), value, revision)
         if isinstance(written, result.Ok):
-            self._keep(number, Stored(page, written.ok_value))
+            self._store_if_newer(number, Stored(page, written.ok_value))
             return "yes"
         error = written.err_value
         if error.kind == "conflict" and error.current is not None:
-            self.note((error.current,))
+            self.merge((error.current,))
             if error.current.value == value:
-                # Our own write, sent twice after an answer was lost; the
-                # nonce tells it from any other.
+                # This VM's own write, sent again after its answer was lost;
+                # the nonce distinguishes it from any other write.
                 return "yes"
         return "unknown" if error.kind == "unknown" else "no"
 
     def is_empty(self) -> bool:
-        """Tells whether no record is known."""
+        """Tells whether this VM has no records."""
         with self._lock:
             return not self._stored
 
@@ -105,7 +120,7 @@
         )
 
     def entries(self) -> tuple[services.Entry, ...]:
-        """Returns all records as the platform holds them."""
+        """Returns all records in the form that the platform stores."""
         with self._lock:
             return tuple(
                 services.Entry(
@@ -116,8 +131,11 @@
                 for number, stored in sorted(self._stored.items())
             )
 
-    def note(self, entries: tuple[services.Entry, ...]) -> None:
-        """Takes records, each only if it is newer than the one known."""
+    def merge(self, entries: tuple[services.Entry, ...]) -> None:
+        """Stores each record that is newer than the copy here.
+
+        Records that can't be decoded are logged and skipped.
+        """
         for entry in entries:
             try:
                 number = shares.page_of_key(entry.key)
@@ -128,11 +146,12 @@
             except (shares.ShareError, ValueError) as error:
                 _log.error("Record %s is unreadable: %s", entry.key, error)
                 continue
-            self._keep(number, Stored(page, entry.revision))
+            self._store_if_newer(number, Stored(page, entry.revision))
 
-    def _keep(self, number: int, stored: Stored) -> None:
+    def _store_if_newer(self, number: int, stored: Stored) -> None:
         with self._lock:
             before = self._stored.get(number)
-            # Answers may overtake each other; a record never goes back.
+            # Answers may arrive out of order; an older revision must not
+            # replace a newer one.
             if before is None or stored.revision > before.revision:
                 self._stored[number] = stored
--- a/packages/daemon/bulrushdeald/sharefeed.py
+++ b/packages/daemon/bulrushdeald/sharefeed.py
@@ -1,10 +1,10 @@
-"""Brings the records of `limits/` from other VMs while the platform is out.
+"""Fetches the `limits/` records from other VMs during a platform outage.
 
-The failure: a VM is replaced during an outage. It knows no owner, so it
-would refuse every request until the platform is back, though owners in other
-failure domains could lend to it. The records of another VM are as good as
-the platform's: nothing in them lapses, and an older one only names owners
-that refuse. Taking a part over still needs a write to the platform.
+A VM that is replaced during an outage has no records, so it would refuse
+every request until the platform is back, although owners in other failure
+domains could lend to it. Records from another VM are safe to use: nothing in
+them expires, and an outdated one only names owners that refuse. Taking over
+a part still requires a write to the platform.
 """
 
 import random
@@ -15,22 +15,26 @@
 from bulrushdeald import services
 from bulrushdeald import sharebook
 
-_MOST_ASKED = 3
+_MAX_VMS_ASKED = 3
 _CALL_TIMEOUT_S = 1.0
 
 
 class ShareQuery(NamedTuple):
-    """Asks a VM for the records that it knows."""
+    """Asks a VM for its copies of the records."""
 
 
 class ShareRecords(NamedTuple):
-    """The answer to a `ShareQuery`."""
+    """The answer to a `ShareQuery`.
+
+    Attributes:
+        entries: All records that the VM has.
+    """
 
     entries: tuple[services.Entry, ...]
 
 
 class ShareFeed:
-    """Asks other VMs, and answers them."""
+    """Fetches records from other VMs and answers their queries."""
 
     def __init__(
         self,
@@ -45,14 +49,17 @@
         peers.handle(ShareQuery, self._answer)
 
     def ask(self) -> None:
-        """Takes the records of the first VM that has any."""
+        """Stores the records of the first VM asked that has any.
+
+        At most `_MAX_VMS_ASKED` other VMs are asked, in random order.
+        """
         own = self._members.own().vm
         others = [row.vm for row in self._members.entry_vms() if row.vm != own]
         random.shuffle(others)
-        for vm in others[:_MOST_ASKED]:
+        for vm in others[:_MAX_VMS_ASKED]:
             answer = self._peers.call(vm, ShareQuery(), _CALL_TIMEOUT_S)
             if isinstance(answer, result.Ok) and answer.ok_value.entries:
-                self._book.note(answer.ok_value.entries)
+                self._book.merge(answer.ok_value.entries)
                 return
 
     def _answer(self, vm: str, query: ShareQuery) -> ShareRecords:
--- a/packages/daemon/bulrushdeald/watchers.py
+++ b/packages/daemon/bulrushdeald/watchers.py
@@ -1,21 +1,26 @@
-"""Chooses the VMs that speak to the platform for their failure domain."""
+"""Chooses the VMs that watch the platform for their failure domain."""
 
 import hashlib
 
 from bulrushdeal import records
 
+# The number of watchers in each failure domain.
 PER_DOMAIN = 2
 
 
 def choose(rows: tuple[records.Vm, ...], failure_domain: str) -> list[str]:
     """Returns the names of a failure domain's watchers.
 
-    Rendezvous hashing: when another VM comes or goes, those that stay keep
-    their part, and all VMs with the same list agree without asking.
+    The choice is by rendezvous hashing: most VMs keep their role when another
+    VM joins or leaves, and all VMs with the same list choose the same
+    watchers without communicating.
 
     Args:
         rows: All entry VMs.
-        failure_domain: Where the watchers stand.
+        failure_domain: The failure domain of the watchers.
+
+    Returns:
+        At most `PER_DOMAIN` names; VMs that are leaving are left out.
     """
     vms = [
         row.vm
--- a/tests/daemon/test_bucket.py
+++ b/tests/daemon/test_bucket.py
@@ -1,4 +1,4 @@
-"""Random steps on two parts' ledgers against the tokens there really are."""
+"""Random operations on two ledgers, checked against the tokens that exist."""
 
 import hypothesis
 from hypothesis import stateful
@@ -13,10 +13,12 @@
 
 
 class LedgerMachine(stateful.RuleBasedStateMachine):
-    """A customer gets more than its row, or a lost owner leaves too much.
+    """Guards against tokens beyond the row and against too much lent.
 
-    Two parts grant to holders and move tokens to each other; answers are
-    lost, holders spend and report, or the report comes later.
+    Two parts grant to holders and move tokens to each other, answers are
+    lost, and holders spend with or without a report. The tokens that exist
+    must never exceed the row's burst, and a part must never lend more than
+    its next owner allows for.
     """
 
     @stateful.initialize(
@@ -92,14 +94,14 @@
         giver.report(f"part{index}", held, returned)
 
     @stateful.invariant()
-    def no_more_tokens_than_the_row(self) -> None:
+    def tokens_are_at_most_the_burst(self) -> None:
         tokens = sum(part.level for part in self.parts)
         tokens += sum(sum(hands.values()) for hands in self.in_hand)
         burst = sum(part.terms.burst for part in self.parts)
         assert tokens <= burst + _EPSILON
 
     @stateful.invariant()
-    def no_more_out_than_the_next_owner_allows_for(self) -> None:
+    def lent_is_at_most_what_the_next_owner_allows_for(self) -> None:
         for part in self.parts:
             bound = shares.lendable(part.capacity) + part.borrowed
             assert part.lent <= bound + _EPSILON
--- a/tests/daemon/test_limits_faults.py
+++ b/tests/daemon/test_limits_faults.py
@@ -1,4 +1,4 @@
-"""Random faults on real limits against one token bucket for the fleet."""
+"""Random faults on the real limits, checked against one token bucket."""
 
 import itertools
 
@@ -17,11 +17,11 @@
 
 
 class LimitsMachine(stateful.RuleBasedStateMachine):
-    """A user sees a customer served more than its row allows.
+    """Guards against admitting more of a customer's requests than its row.
 
-    VMs of up to three failure domains take for one customer while domains
-    are cut off, VMs pause, die, come back and stop, the platform is out or
-    loses answers, messages are lost or late, and the row is edited.
+    VMs of up to three failure domains take tokens of one customer while
+    domains are cut off, VMs pause, crash, restart and stop, the platform is
+    out or loses answers, messages are lost or late, and the row is edited.
     """
 
     pages = 1
@@ -257,7 +257,7 @@
 
     @stateful.rule()
     def recover(self) -> None:
-        """All faults end; the whole row can soon be used again."""
+        """Ends all faults; the whole burst must soon be usable again."""
         net = self.fleet.net
         for name in list(net.paused):
             net.resume(name)
@@ -282,10 +282,10 @@
 
 
 class OpeningMachine(LimitsMachine):
-    """A new customer is served more than its burst in its first seconds.
+    """Guards against admitting more than the burst of a new customer.
 
-    The same faults, on a row that is made only now: it comes to some VMs
-    later than to others, while owners change and fractions move.
+    The same faults apply to a row that has just been created. It reaches
+    some VMs later than others, while owners change and fractions move.
     """
 
     @stateful.initialize(
@@ -303,7 +303,9 @@
         burst: float,
         is_early: bool,
     ) -> None:
-        # A row without a rate lets nothing pass and owns no ledger's tokens.
+        # The base class starts the fleet with the row. It is started again
+        # without: until a VM has the row, it admits no request, and a ledger
+        # has no tokens.
         super().begin(names, rate_per_s, burst)
         for name in names:
             self.fleet.kill(name)
--- a/tests/daemon/test_owner.py
+++ b/tests/daemon/test_owner.py
@@ -1,4 +1,4 @@
-"""Tests of an owned part: what it counts as out, and for how long."""
+"""Tests of the credit and loans that an owned part counts."""
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
@@ -34,9 +34,10 @@
     return owned.totals()["a"][1]
 
 
-def test_loan_to_a_lost_owner_counts_until_its_holders_are_heard() -> None:
-    # A customer gets more than its burst: an owner that had lent our tokens
-    # on is lost, and we count them as gone with it; its holders have them.
+def test_loan_to_a_lost_owner_counts_until_its_credit_is_dropped() -> None:
+    # Guards against admitting more than the burst: when an owner that lent
+    # borrowed tokens on is lost, the lender must still count the loan, since
+    # the lost owner's holders have the tokens.
     owned = _owned()
     owned.answer("o", _ask(credit.Want("a", 0, 3, 3), 1, lent_on="d1"))
     assert _lent(owned) == 3
@@ -51,8 +52,8 @@
 
 
 def test_loan_of_a_lost_lender_is_not_clean_while_holders_have_it() -> None:
-    # A customer gets more than its burst: we say that nothing is left of a
-    # lost lender's tokens, but our holders have them in hand.
+    # Guards against admitting more than the burst: a part must not report
+    # that a lost lender's tokens are gone while its holders have them.
     owned = _owned()
     _borrow(owned, 5)
     want = credit.Want("a", 0, 5, 5)
@@ -65,8 +66,8 @@
 
 
 def test_lowered_row_lowers_loans() -> None:
-    # A customer gets more than its lowered burst: what was borrowed under
-    # the old row still allows an owner to hold more than its part.
+    # Guards against admitting more than a lowered burst: a debt from before
+    # the edit must not allow a part more tokens than its share of the row.
     owned = _owned()
     _borrow(owned, 4)
     borrowed = owned.totals()["a"][2]
@@ -75,9 +76,10 @@
     assert owned.debts() == {_LENDER: {"a"}}
 
 
-def test_request_waits_while_tokens_are_under_way() -> None:
-    # A request is refused although the fleet has tokens: its owner collects
-    # them from another failure domain, and is asked again before they come.
+def test_request_waits_while_tokens_are_collected() -> None:
+    # Guards against refusing a request although the fleet has tokens: the
+    # holder asks again before the owner's collection from another failure
+    # domain has finished.
     owned = _owned(fraction=0.01)
     want = credit.Want("a", 0, 1, 1)
     assert owned.answer("x", _ask(want, 1)).grants[0].again_s > 0
@@ -88,7 +90,14 @@
 
 
 def _new_customer(fraction: float, epoch: int) -> float:
-    """Returns what a part, now half of the page, fills a new row with."""
+    """Returns the tokens that a part gives a new row.
+
+    The part's fraction has changed from 0.25 to 0.5 before the row arrives.
+
+    Args:
+        fraction: The part's fraction in the row's opening.
+        epoch: The part's epoch in the opening; the part itself is in epoch 2.
+    """
     opening = records.Opening(
         "a", 20, 0.0, (records.OpeningPart("d0", epoch, fraction),)
     )
@@ -100,15 +109,15 @@
     return owned.totals()["a"][0]
 
 
-def test_new_row_begins_with_the_fraction_it_was_made_under() -> None:
-    # A customer gets more than its burst: another part filled its bucket,
-    # and moved a fraction here before the new row came, so that this part
-    # fills what the other has granted already.
+def test_new_row_starts_with_the_fraction_of_its_opening() -> None:
+    # Guards against admitting more than the burst: another part fills its
+    # bucket and moves a fraction here before this part gets the new row, so
+    # filling by the new fraction would repeat tokens already granted there.
     assert _new_customer(fraction=0.25, epoch=2) == 5
     assert _new_customer(fraction=0.75, epoch=2) == 10
 
 
 def test_later_owner_does_not_fill_a_new_row_again() -> None:
-    # A customer gets its burst twice: the owner that filled its bucket is
-    # lost, and the next one takes the row for a new one.
+    # Guards against granting the burst twice: the owner that filled the
+    # bucket is lost, and the next owner takes the row for a new one.
     assert _new_customer(fraction=0.25, epoch=1) == 0
--- a/tests/support/limitoracle.py
+++ b/tests/support/limitoracle.py
@@ -1,4 +1,4 @@
-"""The oracle of the limits: one token bucket for the whole fleet."""
+"""A test oracle for the limits: one token bucket for the whole fleet."""
 
 from collections.abc import Iterable
 
@@ -11,9 +11,10 @@
 
 
 class Bucket:
-    """What the row allows, by true time.
+    """The tokens that a customer's row allows, by true time.
 
-    A row counts while any VM has it in force, and no longer.
+    While VMs have different versions of the row in force, the highest rate
+    and the highest burst among them apply.
     """
 
     def __init__(self, row: records.Customer, now_s: float) -> None:
@@ -28,6 +29,7 @@
         self.at_s = now_s
 
     def allow(self, rows: list[records.Customer], now_s: float) -> None:
+        """Applies the versions of the row that VMs have in force."""
         self.accrue(now_s)
         self.rate_per_s = max(row.rate_per_s for row in rows)
         self.burst = max(row.burst for row in rows)
@@ -41,7 +43,14 @@
     def take(
         self, fleet: limitfakes.Fleet, vms: Iterable[str], count: int
     ) -> int:
-        """Takes up to `count` at each VM; returns how many were admitted."""
+        """Requests `count` single tokens at each VM.
+
+        Returns:
+            How many requests were admitted.
+
+        Raises:
+            AssertionError: More were admitted than the row allows.
+        """
         admitted = 0
         for vm in vms:
             for _ in range(count):
