--- a/packages/daemon/bulrushdeald/owner.py
+++ b/packages/daemon/bulrushdeald/owner.py
@@ -87,8 +87,8 @@
         self._demands: dict[str, bucket.Demand] = {}
         self._holders = holders.Holders(self._clear_outstanding)
         self._shortages = shortage.Shortages()
-        # The customers of which a lender may count more tokens as lent to
-        # this part than it has.
+        # By lender, the customers for which it may count more tokens as lent
+        # than this part owes.
         self._unsettled: dict[credit.Source, set[str]] = {}
         self.drops = 0
         # The revision of the record that an unfinished move of fractions
--- a/packages/daemon/bulrushdeald/shortage.py
+++ b/packages/daemon/bulrushdeald/shortage.py
@@ -8,7 +8,8 @@
 ASK_AGAIN_S = 0.004
 # The pause after a collection that brought too little, so that a customer
 # over its rate does not cost a round of messages for each request. It doubles
-# with each further one, since all parts then collect in the same way.
+# with each further collection that brings too little, since all parts are
+# then collecting in the same way.
 COLLECT_PAUSE_S = 0.1
 _MAX_DOUBLINGS = 4
 # A collection that asks more parts than this does not count as successful,
