--- a/packages/daemon/bulrushdeald/admission.py
+++ b/packages/daemon/bulrushdeald/admission.py
@@ -1,4 +1,4 @@
-"""Decides on one request: from what is in hand, or by asking owners."""
+"""Admits or refuses one request, with credit held or granted by owners."""
 
 from typing import NamedTuple
 
@@ -13,15 +13,18 @@
 from bulrushdeald import shares
 
 _RETRY_S = 1.0
-# Each round brings a message or two; a request is not worth more.
+# Most times that one request asks its part's owner. A round costs one or two
+# messages, and a single request does not justify more.
 _MAX_ROUNDS = 8
-# Other failure domains asked directly while the own one has no owner, and
-# how often each: a token that came may go to another request of this VM.
-_MAX_DIRECT = 3
-_DIRECT_ROUNDS = 3
-# A refused customer is refused here without asking for at most this long.
-_MAX_PAUSE_S = 0.1
-_LEAST_WAIT_S = 0.001
+# If the owner in this VM's failure domain does not answer, the owners in this
+# many other failure domains are asked, each up to `_ROUNDS_PER_DOMAIN` times: a
+# granted token may be spent by another request of this VM first.
+_MAX_OTHER_DOMAINS = 3
+_ROUNDS_PER_DOMAIN = 3
+# After a refusal, further requests of the customer are refused without asking
+# an owner for at most this long.
+_MAX_REFUSAL_CACHE_S = 0.1
+_MIN_WAIT_S = 0.001
 
 _UNAVAILABLE = services.Refusal(
     503,
@@ -31,22 +34,22 @@
 )
 
 
-class Pause(NamedTuple):
-    """A customer that is refused without asking for a moment.
+class CachedRefusal(NamedTuple):
+    """A refusal that is repeated for a short time without asking an owner.
 
     Attributes:
-        until_s: When that ends.
-        pause_s: How long it lasts.
-        refusal: What the last request was told.
+        expires_s: Monotonic time at which the entry expires.
+        lifetime_s: Time from the refusal to its expiry.
+        refusal: The refusal of the last request that asked.
     """
 
-    until_s: float
-    pause_s: float
+    expires_s: float
+    lifetime_s: float
     refusal: services.Refusal
 
 
 class Admission:
-    """Takes tokens for the requests of one VM, on the requests' threads."""
+    """Takes tokens for one VM's requests, on the calling threads."""
 
     def __init__(
         self,
@@ -64,7 +67,7 @@
         self._ownership = ownership
         self._clock = clock
         self._domain = ownership.failure_domain
-        self._pauses: dict[str, Pause] = {}
+        self._cached_refusals: dict[str, CachedRefusal] = {}
 
     def take(
         self, customer: str, count: float = 1.0
@@ -87,47 +90,51 @@
         self._holder.note_demand(customer, count)
         if self._holder.spend(customer, count):
             return result.Ok(None)
-        paused = self._paused(customer)
-        if paused is not None:
-            return result.Err(paused)
-        refusal = self._collect_for(customer, count)
+        cached = self._cached_refusal(customer)
+        if cached is not None:
+            return result.Err(cached)
+        refusal = self._request_tokens(customer, count)
         if refusal is None:
             return result.Ok(None)
-        self._pause(customer, refusal)
+        self._cache_refusal(customer, refusal)
         return result.Err(refusal)
 
-    def _paused(self, customer: str) -> services.Refusal | None:
-        pause = self._pauses.get(customer)
-        if pause is None:
+    def _cached_refusal(self, customer: str) -> services.Refusal | None:
+        cached = self._cached_refusals.get(customer)
+        if cached is None:
             return None
-        left_s = pause.until_s - self._clock.monotonic_s()
+        left_s = cached.expires_s - self._clock.monotonic_s()
         if left_s <= 0:
             return None
-        passed_s = pause.pause_s - left_s
-        wait_s = pause.refusal.retry_after_s - passed_s
-        return pause.refusal._replace(retry_after_s=max(wait_s, _LEAST_WAIT_S))
-
-    def _pause(self, customer: str, refusal: services.Refusal) -> None:
-        pause_s = min(refusal.retry_after_s, _MAX_PAUSE_S)
-        until_s = self._clock.monotonic_s() + pause_s
-        self._pauses[customer] = Pause(until_s, pause_s, refusal)
-
-    def _collect_for(
+        age_s = cached.lifetime_s - left_s
+        wait_s = cached.refusal.retry_after_s - age_s
+        return cached.refusal._replace(retry_after_s=max(wait_s, _MIN_WAIT_S))
+
+    def _cache_refusal(self, customer: str, refusal: services.Refusal) -> None:
+        lifetime_s = min(refusal.retry_after_s, _MAX_REFUSAL_CACHE_S)
+        expires_s = self._clock.monotonic_s() + lifetime_s
+        self._cached_refusals[customer] = CachedRefusal(
+            expires_s, lifetime_s, refusal
+        )
+
+    def _request_tokens(
         self, customer: str, count: float
     ) -> services.Refusal | None:
         """Asks owners for credit and spends it.
 
         Returns:
-            `None` if the tokens were spent.
+            `None` if the tokens were spent, or else the refusal.
         """
         wait_s = _RETRY_S
         for _ in range(_MAX_ROUNDS):
-            need = max(0.0, count - self._holder.in_hand(customer))
-            answer = self._holder.ask(self._domain, customer, need, ahead=True)
+            need = max(0.0, count - self._holder.available(customer))
+            answer = self._holder.ask(
+                self._domain, customer, need, prefetch=True
+            )
             if self._holder.spend(customer, count):
                 return None
             if not answer.is_answered:
-                return self._ask_directly(customer, count)
+                return self._ask_other_domains(customer, count)
             if answer.grant is None:
                 continue
             wait_s = answer.grant.wait_s or wait_s
@@ -135,7 +142,7 @@
                 self._await_collection(customer, answer.grant.again_s)
             elif answer.grant.granted <= 0:
                 break
-        return _refusal(wait_s)
+        return _rate_limited(wait_s)
 
     def _await_collection(self, customer: str, again_s: float) -> None:
         owned = self._ownership.find(shares.page_of(customer), self._domain)
@@ -144,38 +151,38 @@
             return
         self._clock.sleep_s(again_s)
 
-    def _ask_directly(
+    def _ask_other_domains(
         self, customer: str, count: float
     ) -> services.Refusal | None:
         stored = self._book.get(shares.page_of(customer))
         parts = () if stored is None else stored.page.parts
-        others = [
+        domains = [
             part.failure_domain
             for part in parts
             if part.failure_domain != self._domain and part.vm
         ]
-        others = shares.rank(f"{self._domain}/{customer}", others)
+        domains = shares.rank(f"{self._domain}/{customer}", domains)
         refusal = _UNAVAILABLE
-        for failure_domain in others[:_MAX_DIRECT]:
-            for _ in range(_DIRECT_ROUNDS):
-                need = max(0.0, count - self._holder.in_hand(customer))
+        for failure_domain in domains[:_MAX_OTHER_DOMAINS]:
+            for _ in range(_ROUNDS_PER_DOMAIN):
+                need = max(0.0, count - self._holder.available(customer))
                 answer = self._holder.ask(
-                    failure_domain, customer, need, ahead=False
+                    failure_domain, customer, need, prefetch=False
                 )
                 if self._holder.spend(customer, count):
                     return None
                 if answer.grant is None:
                     break
-                refusal = _refusal(answer.grant.wait_s or _RETRY_S)
+                refusal = _rate_limited(answer.grant.wait_s or _RETRY_S)
                 if answer.grant.granted <= 0:
                     break
         return refusal
 
 
-def _refusal(wait_s: float) -> services.Refusal:
+def _rate_limited(wait_s: float) -> services.Refusal:
     return services.Refusal(
         429,
         "rate_limited",
         "The customer's rate and burst are used up.",
-        retry_after_s=max(wait_s, _LEAST_WAIT_S),
+        retry_after_s=max(wait_s, _MIN_WAIT_S),
     )
--- a/packages/daemon/bulrushdeald/asker.py
+++ b/packages/daemon/bulrushdeald/asker.py
@@ -1,4 +1,4 @@
-"""Asks one part's owner for credit, one message at a time."""
+"""Asks the owner of a part for credit, one message at a time."""
 
 import threading
 from typing import NamedTuple
@@ -9,41 +9,47 @@
 from bulrushdeald import credit
 from bulrushdeald import services
 
-# An owner answers from memory; a longer silence is a fault, and the caller
-# is waiting.
+# An owner answers from memory, so a longer delay is a fault, and a caller's
+# request is waiting.
 ASK_TIMEOUT_S = 0.1
-# How long an owner that gave no answer is not asked again.
-SILENCE_S = 0.5
+# How long a VM is not asked again after a call to it had no answer.
+BACKOFF_S = 0.5
 
 
-class Asked(NamedTuple):
-    """What one message brought.
+class OwnerReply(NamedTuple):
+    """The result of one message to an owner.
 
     Attributes:
-        is_answered: Whether the owner answered as the owner.
-        grants: By customer.
+        is_answered: Whether the VM answered and owns the part.
+        grants: The grants by customer; empty if there is no such answer.
     """
 
     is_answered: bool
     grants: dict[str, credit.Grant]
 
 
-class Round:
-    """Wants that go in one message."""
+class PendingAsk:
+    """Requests for credit that are sent to an owner in one message.
+
+    Attributes:
+        needs: The largest need of any one request, in tokens by customer.
+        wants: The sum of the tokens wanted, by customer.
+        reply: The owner's reply; `None` until the message was sent.
+    """
 
     def __init__(self) -> None:
         self.needs: dict[str, float] = {}
         self.wants: dict[str, float] = {}
-        self.asked: Asked | None = None
+        self.reply: OwnerReply | None = None
 
     def add(self, customer: str, need: float, want: float) -> None:
-        """Adds a want; several of one customer become one."""
+        """Adds a request, merged with earlier ones of the same customer."""
         self.needs[customer] = max(self.needs.get(customer, 0.0), need)
         self.wants[customer] = self.wants.get(customer, 0.0) + want
 
 
 class Sender:
-    """Sends messages of one holder to owners, numbered in order."""
+    """Sends one VM's messages to owners, with ascending sequence numbers."""
 
     def __init__(
         self,
@@ -67,10 +73,24 @@
         source: credit.Source,
         wants: tuple[credit.Want, ...],
         lender_for: credit.Source | None = None,
-    ) -> Asked:
-        """Sends one message; the caller serialises those to one part."""
+    ) -> OwnerReply:
+        """Sends one message to a part's owner and waits for the answer.
+
+        A caller must not have two messages to one part in flight.
+
+        Args:
+            vm: The owner.
+            page: The page of the part.
+            source: The part and its epoch.
+            wants: One for each customer.
+            lender_for: Set if an owner borrows: its own part and epoch.
+
+        Returns:
+            The owner's reply; not answered if the VM is backed off, the call
+            fails, or the VM does not own the part.
+        """
         if self.is_silent(vm):
-            return Asked(False, {})
+            return OwnerReply(False, {})
         with self._lock:
             self._seq += 1
             seq = self._seq
@@ -87,64 +107,68 @@
         answer = self._peers.call(vm, ask, self._timeout_s)
         if isinstance(answer, result.Err):
             if answer.err_value.kind != "refused":
-                until_s = self._clock.monotonic_s() + SILENCE_S
+                until_s = self._clock.monotonic_s() + BACKOFF_S
                 self._silent_until_s[vm] = until_s
-            return Asked(False, {})
+            return OwnerReply(False, {})
         grants = answer.ok_value
         if not isinstance(grants, credit.CreditGrants) or not grants.is_owner:
-            return Asked(False, {})
+            return OwnerReply(False, {})
         names = [want.customer for want in wants]
-        return Asked(True, dict(zip(names, grants.grants, strict=True)))
+        return OwnerReply(True, dict(zip(names, grants.grants, strict=True)))
 
     def is_silent(self, vm: str) -> bool:
-        """Tells whether a VM gave no answer a moment ago."""
+        """Returns whether a recent call to a VM had no answer."""
         until_s = self._silent_until_s.get(vm, 0.0)
         return self._clock.monotonic_s() < until_s
 
 
-class Turnstile:
-    """Lets one round at a time go to an owner; others gather meanwhile.
+class Coalescer:
+    """Coalesces the requests of several threads to one owner.
 
-    The owner takes what a message says is held as true, so two messages
-    must never be under way at once. Threads that come while one is under
-    way share the next.
+    The owner replaces its count of the credit held here by the value in each
+    message, so two messages must never be in flight at once. Threads that
+    arrive while a message is in flight share the next one.
     """
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
         self._is_busy = False
-        self._next = Round()
+        self._next = PendingAsk()
 
-    def join(self, customer: str, need: float, want: float) -> Round:
-        """Adds a want and waits for a turn.
+    def join(self, customer: str, need: float, want: float) -> PendingAsk:
+        """Adds a request to the next message and waits for its turn.
 
         Returns:
-            The round that the want is in. If it has not been asked, the
-            caller has to send it and then `finish`.
+            The message that includes the request. If its `reply` is `None`,
+            the caller must send it and then call `finish`.
         """
         with self._changed:
-            mine = self._next
-            mine.add(customer, need, want)
-            while self._is_busy and mine.asked is None:
+            pending = self._next
+            pending.add(customer, need, want)
+            while self._is_busy and pending.reply is None:
                 self._changed.wait()
-            return mine if mine.asked is not None else self._begin()
+            return pending if pending.reply is not None else self._begin()
+
+    def enter(self) -> PendingAsk:
+        """Waits for a turn to send a message without adding a request.
 
-    def enter(self) -> Round:
-        """Waits for a turn with nothing to add."""
+        Returns:
+            The message; the caller must send it and then call `finish`.
+        """
         with self._changed:
             while self._is_busy:
                 self._changed.wait()
             return self._begin()
 
-    def _begin(self) -> Round:
+    def _begin(self) -> PendingAsk:
         self._is_busy = True
-        begun = self._next
-        self._next = Round()
-        return begun
+        pending = self._next
+        self._next = PendingAsk()
+        return pending
 
-    def finish(self, sent: Round, asked: Asked) -> None:
-        """Ends the caller's turn."""
+    def finish(self, sent: PendingAsk, reply: OwnerReply) -> None:
+        """Ends the caller's turn and gives the reply to waiting threads."""
         with self._changed:
-            sent.asked = asked
+            sent.reply = reply
             self._is_busy = False
             self._changed.notify_all()
--- a/packages/daemon/bulrushdeald/collector.py
+++ b/packages/daemon/bulrushdeald/collector.py
@@ -1,4 +1,4 @@
-"""Collects tokens from a page's other owners when an owned part is short."""
+"""Borrows tokens for an owned part from the page's other owners."""
 
 from bulrushdeald import asker
 from bulrushdeald import credit
@@ -7,26 +7,26 @@
 from bulrushdeald import shortage
 
 _EPSILON = 1e-9
-# With how many other parts a part evens its levels in one round: one round
-# costs a message to each, and a part that stays full meanwhile loses what
-# its rate gives.
-BALANCE_WITH = 2
+# How many lenders a part asks in one round of balancing. Each costs a message,
+# but a full part loses the tokens that accrue to it until it is asked.
+BALANCE_LENDERS = 2
 
 
 class Collector:
-    """Borrows for owned parts; the borrowed tokens still count there.
+    """Borrows tokens for owned parts and repays them.
 
-    Each part has one collection at a time, so messages from it to another
-    owner never overtake each other.
+    Borrowed tokens that exceed the borrower's free room still count as lent
+    at the lender. Each part exchanges messages with other owners from one
+    thread at a time, so its messages to an owner never overtake each other.
     """
 
     def __init__(self, book: sharebook.ShareBook, sender: asker.Sender) -> None:
         self._book = book
         self._sender = sender
-        self._turn = 0
+        self._balance_offset = 0
 
     def collect(self, owned: owner.OwnedPart) -> None:
-        """Meets the shortages of a part as far as the others can."""
+        """Borrows what a part's waiting requests lack, as far as possible."""
         with owned.exchange:
             try:
                 self._collect(owned)
@@ -34,22 +34,22 @@
                 owned.collection_ended()
 
     def _collect(self, owned: owner.OwnedPart) -> None:
-        missing = list(owned.shortages())
-        if not missing:
+        unmet = list(owned.shortages())
+        if not unmet:
             return
-        first = missing[0].customer
+        first = unmet[0].customer
         asked = 0
-        for source, vm in _begin_at(
+        for source, vm in _rotate_to(
             owned.last_lender.get(first, ""), self._lenders(owned)
         ):
-            if not missing:
+            if not unmet:
                 return
             if self._sender.is_silent(vm):
                 continue
-            names = {lacking.customer for lacking in missing}
-            missing = self._collect_from(owned, source, vm, missing)
+            names = {item.customer for item in unmet}
+            unmet = self._collect_from(owned, source, vm, unmet)
             asked += 1
-            for name in names - {lacking.customer for lacking in missing}:
+            for name in names - {item.customer for item in unmet}:
                 owned.last_lender[name] = source.failure_domain
                 owned.collected(name, asked)
 
@@ -58,22 +58,23 @@
         owned: owner.OwnedPart,
         source: credit.Source,
         vm: str,
-        missing: list[shortage.Shortage],
+        shortages: list[shortage.Shortage],
     ) -> list[shortage.Shortage]:
-        drops = owned.drops
-        wants = tuple(owned.want(source, lacking) for lacking in missing)
-        asked = self._sender.send(vm, owned.page, source, wants, owned.source)
-        still: list[shortage.Shortage] = []
-        for want, lacking in zip(wants, missing, strict=True):
-            grant = asked.grants.get(want.customer)
-            count = owned.receive(source, want, grant, drops)
-            left = lacking.missing - count
+        """Asks one lender and returns the shortages that remain."""
+        drop_count = owned.drops
+        wants = tuple(owned.want(source, item) for item in shortages)
+        reply = self._sender.send(vm, owned.page, source, wants, owned.source)
+        unmet: list[shortage.Shortage] = []
+        for want, item in zip(wants, shortages, strict=True):
+            grant = reply.grants.get(want.customer)
+            count = owned.receive(source, want, grant, drop_count)
+            left = item.missing - count
             if left > _EPSILON:
-                still.append(lacking._replace(missing=left))
-        return still
+                unmet.append(item._replace(missing=left))
+        return unmet
 
     def balance(self, owned: owner.OwnedPart) -> None:
-        """Evens a part's levels with one other part's, by turns."""
+        """Evens out a part's low buckets with the next lenders, in rotation."""
         with owned.exchange:
             low = owned.low()
             if not low:
@@ -81,13 +82,15 @@
             lenders = self._lenders(owned)
             if not lenders:
                 return
-            self._turn += 1
-            turn = self._turn % len(lenders)
-            for source, vm in (lenders + lenders)[turn : turn + BALANCE_WITH]:
+            self._balance_offset += 1
+            offset = self._balance_offset % len(lenders)
+            for source, vm in (lenders + lenders)[
+                offset : offset + BALANCE_LENDERS
+            ]:
                 self._collect_from(owned, source, vm, list(low))
 
     def settle(self, owned: owner.OwnedPart) -> None:
-        """Lowers debts, and gives back what is idle."""
+        """Repays a part's debts and returns idle borrowed tokens."""
         with owned.exchange:
             self._settle(owned)
 
@@ -103,10 +106,10 @@
                 returned = owned.give_back(source, name)
                 held = owned.owed(source, name)
                 wants.append(credit.Want(name, held, returned=returned))
-            asked = self._sender.send(
+            reply = self._sender.send(
                 part.vm, owned.page, source, tuple(wants), owned.source
             )
-            if asked.is_answered:
+            if reply.is_answered:
                 owned.settled(source)
 
     def _lenders(
@@ -117,8 +120,8 @@
             return []
         own = owned.part.failure_domain
         parts = [p for p in stored.page.parts if p.vm]
-        # Each part begins with its neighbour, so that they do not all ask
-        # the same one first.
+        # Each part begins with the next one by name, so that the parts do not
+        # all ask the same lender first.
         after = [p for p in parts if p.failure_domain > own]
         before = [p for p in parts if p.failure_domain < own]
         return [
@@ -127,10 +130,11 @@
         ]
 
 
-def _begin_at(
+def _rotate_to(
     failure_domain: str, lenders: list[tuple[credit.Source, str]]
 ) -> list[tuple[credit.Source, str]]:
-    # The one that had enough the last time; those before it were drained.
+    # Begins with the lender that met the last shortage: those asked before
+    # it had too few tokens.
     for index, (source, _) in enumerate(lenders):
         if source.failure_domain == failure_domain:
             return lenders[index:] + lenders[:index]
--- a/packages/daemon/bulrushdeald/holder.py
+++ b/packages/daemon/bulrushdeald/holder.py
@@ -1,4 +1,4 @@
-"""This VM's credit in hand, and how it gets more."""
+"""Holds one VM's credit, and requests and returns it."""
 
 from collections.abc import Callable
 import threading
@@ -13,16 +13,16 @@
 from bulrushdeald import sharebook
 from bulrushdeald import shares
 
-# Credit that nobody used for this long goes back.
-IDLE_S = 1.0
+# Credit that is not used for this long is returned to its owner.
+IDLE_TIMEOUT_S = 1.0
 
 
-class Answer(NamedTuple):
-    """What asking one owner brought for one customer.
+class CustomerReply(NamedTuple):
+    """The result of asking one owner for one customer's tokens.
 
     Attributes:
-        is_answered: Whether the owner answered as the owner.
-        grant: What it gave; `None` if it did not answer.
+        is_answered: Whether the VM answered and owns the part.
+        grant: The owner's grant; `None` if there is none.
     """
 
     is_answered: bool
@@ -30,9 +30,9 @@
 
 
 class Holder:
-    """The wallets of one VM.
+    """The credit that one VM holds, in one wallet per customer.
 
-    Its lock guards all wallets; no call to a peer is made under it.
+    One lock guards all wallets; no call to a peer is made under it.
     """
 
     def __init__(
@@ -50,132 +50,141 @@
         self._wallets: dict[str, credit.Wallet] = {}
         self._by_page: dict[int, dict[str, credit.Wallet]] = {}
         self._demands: dict[str, bucket.Demand] = {}
-        self._turnstiles: dict[tuple[int, str], asker.Turnstile] = {}
-        # Counts the drops of a page: an answer to what was asked before a
-        # drop brings credit of an owner that is gone, and is void.
-        self._drops: dict[int, int] = {}
+        self._coalescers: dict[tuple[int, str], asker.Coalescer] = {}
+        # Number of drops by page. The answer to a message sent before a
+        # drop may grant credit of an owner that has been replaced, and is void.
+        self._drop_counts: dict[int, int] = {}
         self._is_closed = False
-        # Pages whose owner may count credit of an earlier process here.
-        self._unintroduced = set(range(shares.PAGES))
-
-    def introduce(self, failure_domain: str) -> None:
-        """Tells the owners of a failure domain's parts that this VM is new.
-
-        The failure: a VM stops, the message that returns its credit is lost,
-        and its next process has no customer of that page for long. It shows
-        as a customer that never gets its whole burst, since the owner counts
-        the credit as out. Any message of the new process ends that.
+        # Pages whose owner may still count credit held by an earlier process
+        # of this VM.
+        self._unannounced = set(range(shares.PAGES))
+
+    def announce(self, failure_domain: str) -> None:
+        """Announces this process to the owners of a failure domain's parts.
+
+        If a VM stops and the message that returns its credit is lost, the
+        owner counts that credit as held until it receives a message of the
+        VM's next process. Without an announcement, a customer may be refused
+        its whole burst for as long as the new process has no request of a
+        customer on that page.
         """
-        for page in sorted(self._unintroduced):
+        for page in sorted(self._unannounced):
             part = self._book.part(page, failure_domain)
             if part is None or not part.vm:
                 continue
             source = credit.Source(failure_domain, part.epoch)
-            turnstile = self._turnstile(page, failure_domain)
-            joined = turnstile.enter()
-            asked = asker.Asked(False, {})
+            coalescer = self._coalescer(page, failure_domain)
+            pending = coalescer.enter()
+            reply = asker.OwnerReply(False, {})
             try:
-                asked = self._sender.send(part.vm, page, source, ())
+                reply = self._sender.send(part.vm, page, source, ())
             finally:
-                # Its wants, if any, were not sent: they are asked again.
-                turnstile.finish(joined, asked._replace(grants={}))
-            if asked.is_answered:
-                self._unintroduced.discard(page)
+                # Requests in the pending message were not sent: without a
+                # grant, their threads ask again.
+                coalescer.finish(pending, reply._replace(grants={}))
+            if reply.is_answered:
+                self._unannounced.discard(page)
 
     def note_demand(self, customer: str, count: float) -> None:
-        """Counts a request for the credit to get ahead."""
+        """Records a request in the demand that sizes prefetched credit."""
         with self._lock:
             demand = self._demands.setdefault(customer, bucket.Demand())
             demand.note(count, self._clock.monotonic_s())
 
     def spend(self, customer: str, count: float) -> bool:
-        """Takes `count` tokens from what is in hand, or none."""
+        """Takes `count` tokens from the credit held, or none.
+
+        Returns:
+            Whether the tokens were taken.
+        """
         with self._lock:
             wallet = self._wallets.get(customer)
             if wallet is None or self._is_closed:
                 return False
             return wallet.spend(count, self._clock.monotonic_s())
 
-    def in_hand(self, customer: str) -> float:
-        """Returns what is in hand."""
+    def available(self, customer: str) -> float:
+        """Returns how many of a customer's tokens this VM holds."""
         with self._lock:
             wallet = self._wallets.get(customer)
             return 0.0 if wallet is None else wallet.total()
 
     def ask(
-        self, failure_domain: str, customer: str, need: float, ahead: bool
-    ) -> Answer:
+        self, failure_domain: str, customer: str, need: float, prefetch: bool
+    ) -> CustomerReply:
         """Asks the owner of a part for at least `need` tokens.
 
         Args:
-            failure_domain: Whose part.
-            customer: For whom.
-            need: What a waiting request lacks; 0 takes whatever there is.
-            ahead: Whether to ask for the demand to come as well.
+            failure_domain: The failure domain of the part.
+            customer: The customer.
+            need: Tokens that a waiting request lacks; 0 accepts any number.
+            prefetch: Whether to ask for credit for expected requests as well.
         """
         page = shares.page_of(customer)
-        want = max(need, self._missing(customer))
-        if ahead:
-            want += self._ahead(customer)
-        turnstile = self._turnstile(page, failure_domain)
-        joined = turnstile.join(customer, need, want)
-        if joined.asked is not None:
-            # Sent by another thread, which may have spent what it brought;
-            # what the owner said tells whether to ask again.
-            return _answer(joined.asked, customer)
-        asked = asker.Asked(False, {})
+        want = max(need, self._shortfall(customer))
+        if prefetch:
+            want += self._prefetch_count(customer)
+        coalescer = self._coalescer(page, failure_domain)
+        pending = coalescer.join(customer, need, want)
+        if pending.reply is not None:
+            # Another thread sent the message and may have spent the tokens
+            # granted; from the grant the caller decides whether to ask again.
+            return _customer_reply(pending.reply, customer)
+        reply = asker.OwnerReply(False, {})
         try:
-            asked = self._send(page, failure_domain, joined)
+            reply = self._send(page, failure_domain, pending)
         finally:
-            turnstile.finish(joined, asked)
-        return _answer(asked, customer)
+            coalescer.finish(pending, reply)
+        return _customer_reply(reply, customer)
 
-    def _missing(self, customer: str) -> float:
-        return max(0.0, 1.0 - self.in_hand(customer))
+    def _shortfall(self, customer: str) -> float:
+        return max(0.0, 1.0 - self.available(customer))
 
-    def _ahead(self, customer: str) -> float:
+    def _prefetch_count(self, customer: str) -> float:
         with self._lock:
             demand = self._demands.get(customer)
             if demand is None:
                 return 0.0
             rate_per_s = demand.rate_per_s(self._clock.monotonic_s())
-            ahead = rate_per_s * owner.AHEAD_S
-            # Less than a whole request ahead would only lie idle here.
-            return ahead if ahead >= 1 else 0.0
+            count = rate_per_s * owner.AHEAD_S
+            # Less than one token admits no request and would lie idle here.
+            return count if count >= 1 else 0.0
 
-    def _turnstile(self, page: int, failure_domain: str) -> asker.Turnstile:
+    def _coalescer(self, page: int, failure_domain: str) -> asker.Coalescer:
         with self._lock:
-            return self._turnstiles.setdefault(
-                (page, failure_domain), asker.Turnstile()
+            return self._coalescers.setdefault(
+                (page, failure_domain), asker.Coalescer()
             )
 
     def _send(
         self,
         page: int,
         failure_domain: str,
-        joined: asker.Round,
+        pending: asker.PendingAsk,
         returned: dict[str, float] | None = None,
-    ) -> asker.Asked:
+    ) -> asker.OwnerReply:
         part = self._book.part(page, failure_domain)
         if part is None or not part.vm:
-            return asker.Asked(False, {})
+            return asker.OwnerReply(False, {})
         source = credit.Source(failure_domain, part.epoch)
-        wants, drops = self._declare(page, source, joined, returned or {})
+        wants, drop_count = self._build_wants(
+            page, source, pending, returned or {}
+        )
         if not wants:
-            return asker.Asked(True, {})
-        asked = self._sender.send(part.vm, page, source, wants)
-        self._apply(page, source, wants, drops, asked)
-        return asked
+            return asker.OwnerReply(True, {})
+        reply = self._sender.send(part.vm, page, source, wants)
+        self._apply_grants(page, source, wants, drop_count, reply)
+        return reply
 
-    def _declare(
+    def _build_wants(
         self,
         page: int,
         source: credit.Source,
-        joined: asker.Round,
+        pending: asker.PendingAsk,
         returned: dict[str, float],
     ) -> tuple[tuple[credit.Want, ...], int]:
         with self._lock:
-            names = set(joined.wants) | set(returned)
+            names = set(pending.wants) | set(returned)
             for name, wallet in self._by_page.get(page, {}).items():
                 if wallet.is_stale(source):
                     names.add(name)
@@ -186,12 +195,12 @@
                 want = credit.Want(
                     name,
                     credit.compact(wallet.declare(source)),
-                    credit.compact(joined.needs.get(name, 0)),
-                    credit.compact(joined.wants.get(name, 0)),
+                    credit.compact(pending.needs.get(name, 0)),
+                    credit.compact(pending.wants.get(name, 0)),
                     credit.compact(returned.get(name, 0)),
                 )
                 wants.append(want)
-            return tuple(wants), self._drops.get(page, 0)
+            return tuple(wants), self._drop_counts.get(page, 0)
 
     def _wallet(self, page: int, customer: str) -> credit.Wallet:
         wallet = self._wallets.get(customer)
@@ -202,25 +211,28 @@
             self._by_page.setdefault(page, {})[customer] = wallet
         return wallet
 
-    def _apply(
+    def _apply_grants(
         self,
         page: int,
         source: credit.Source,
         wants: tuple[credit.Want, ...],
-        drops: int,
-        asked: asker.Asked,
+        drop_count: int,
+        reply: asker.OwnerReply,
     ) -> None:
         with self._lock:
             for want in wants:
                 wallet = self._wallet(page, want.customer)
-                grant = asked.grants.get(want.customer)
+                grant = reply.grants.get(want.customer)
                 if grant is None:
-                    # The owner may have granted, and the answer was lost:
-                    # what it granted is never used, and the next message
-                    # tells the owner what is really in hand.
+                    # The owner may have granted tokens in an answer that
+                    # was lost. They are never used, and the next message
+                    # reports to the owner how many are really held.
                     wallet.distrust(source)
                     continue
-                if self._is_closed or self._drops.get(page, 0) != drops:
+                if (
+                    self._is_closed
+                    or self._drop_counts.get(page, 0) != drop_count
+                ):
                     wallet.distrust(source)
                     continue
                 row = self._row_of(want.customer)
@@ -228,14 +240,15 @@
                     continue
                 factor = min(1.0, row.burst / grant.burst)
                 if factor < 1:
-                    # The owner has an older row and counts more as held.
+                    # The owner has an older row with a higher burst and
+                    # counts more tokens as held.
                     wallet.distrust(source)
                 wallet.add(source, grant.granted * factor)
                 wallet.touched_s = self._clock.monotonic_s()
                 wallet.is_tight = grant.tight
 
-    def rows_changed(self) -> None:
-        """Drops what an edited row took away."""
+    def apply_rows(self) -> None:
+        """Scales down the credit of each customer whose burst was lowered."""
         with self._lock:
             for name, wallet in self._wallets.items():
                 row = self._row_of(name)
@@ -245,72 +258,72 @@
                 wallet.burst = burst
 
     def drop_page(self, page: int) -> None:
-        """Drops all credit of a page, also what is under way."""
+        """Drops all credit of a page, also grants still in flight."""
         with self._lock:
-            self._drops[page] = self._drops.get(page, 0) + 1
+            self._drop_counts[page] = self._drop_counts.get(page, 0) + 1
             for wallet in self._by_page.get(page, {}).values():
                 wallet.drop_all()
 
     def report(self, only_tight: bool) -> None:
-        """Returns idle credit and tells owners what was spent.
+        """Returns idle credit and reports spent credit to the owners.
 
         Args:
-            only_tight: Only where the owner said that it needs to know
-                soon.
+            only_tight: Whether to report only for customers whose owner
+                requested early reports.
         """
-        for (page, failure_domain), returned in self._to_report(
+        for (page, failure_domain), returned in self._due_reports(
             only_tight
         ).items():
-            turnstile = self._turnstile(page, failure_domain)
-            joined = turnstile.enter()
-            asked = asker.Asked(False, {})
+            coalescer = self._coalescer(page, failure_domain)
+            pending = coalescer.enter()
+            reply = asker.OwnerReply(False, {})
             try:
-                asked = self._send(page, failure_domain, joined, returned)
+                reply = self._send(page, failure_domain, pending, returned)
             finally:
-                turnstile.finish(joined, asked)
+                coalescer.finish(pending, reply)
 
-    def _to_report(
+    def _due_reports(
         self, only_tight: bool
     ) -> dict[tuple[int, str], dict[str, float]]:
-        found: dict[tuple[int, str], dict[str, float]] = {}
+        due: dict[tuple[int, str], dict[str, float]] = {}
         now_s = self._clock.monotonic_s()
         with self._lock:
             for name, wallet in list(self._wallets.items()):
                 if only_tight and not wallet.is_tight:
                     continue
                 page = shares.page_of(name)
-                is_idle = now_s - wallet.touched_s > IDLE_S
+                is_idle = now_s - wallet.touched_s > IDLE_TIMEOUT_S
                 if is_idle and not wallet.sources():
-                    self._forget(page, name)
+                    self._delete_wallet(page, name)
                 for source in wallet.sources():
                     part = self._book.part(page, source.failure_domain)
                     if part is None or part.epoch != source.epoch:
-                        # The owner is gone, and with it its counts.
+                        # The owner was replaced, and its counts are lost.
                         wallet.forget(source)
                         continue
-                    # Given up before it is sent: if the message is lost,
-                    # the tokens are, and nobody has them twice.
-                    given = wallet.give_up(source) if is_idle else 0.0
-                    if given or wallet.is_stale(source):
+                    # The tokens leave the wallet before the message is sent:
+                    # a lost message loses them, but they never exist twice.
+                    returned = wallet.give_up(source) if is_idle else 0.0
+                    if returned or wallet.is_stale(source):
                         key = (page, source.failure_domain)
-                        found.setdefault(key, {})[name] = given
-        return found
+                        due.setdefault(key, {})[name] = returned
+        return due
 
-    def _forget(self, page: int, customer: str) -> None:
+    def _delete_wallet(self, page: int, customer: str) -> None:
         del self._wallets[customer]
         del self._by_page[page][customer]
         self._demands.pop(customer, None)
 
     def close(self) -> None:
-        """Spends nothing any more and gives all credit back."""
+        """Stops spending and returns all credit to its owners."""
         with self._lock:
             self._is_closed = True
             for wallet in self._wallets.values():
-                wallet.touched_s = -IDLE_S
+                wallet.touched_s = -IDLE_TIMEOUT_S
         self.report(only_tight=False)
 
     def dump(self) -> dict[str, float]:
-        """Returns the tokens in hand by customer."""
+        """Returns the tokens held, by customer."""
         with self._lock:
             return {
                 name: wallet.total()
@@ -319,5 +332,5 @@
             }
 
 
-def _answer(asked: asker.Asked, customer: str) -> Answer:
-    return Answer(asked.is_answered, asked.grants.get(customer))
+def _customer_reply(reply: asker.OwnerReply, customer: str) -> CustomerReply:
+    return CustomerReply(reply.is_answered, reply.grants.get(customer))
--- a/packages/daemon/bulrushdeald/holders.py
+++ b/packages/daemon/bulrushdeald/holders.py
@@ -1,4 +1,4 @@
-"""Who has an owner's credit, and whether it is gone for certain."""
+"""Tracks the holders of a part's credit and detects those that are gone."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,12 +7,13 @@
 
 
 class HolderName(NamedTuple):
-    """Who holds credit: a VM, or the owner of another part that lends on.
+    """Identifies a holder: a VM, or the owner of a part that borrowed.
 
     Attributes:
         vm: The VM.
-        for_domain: The part that it lends on for, or empty.
-        for_epoch: That part's epoch.
+        for_domain: The failure domain of the part that borrowed; empty for
+            a VM that holds credit for its own requests.
+        for_epoch: The epoch of the part that borrowed.
     """
 
     vm: str
@@ -20,8 +21,14 @@
     for_epoch: int = 0
 
 
-class Holder:
-    """What an owner knows of one holder."""
+class _HolderState:
+    """The state that an owner keeps for one holder.
+
+    Attributes:
+        incarnation: The holder's current process.
+        seq: The highest sequence number received from that process.
+        replaced: Earlier processes, whose messages are ignored.
+    """
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
@@ -30,54 +37,62 @@
 
 
 class Holders:
-    """The holders of one part; the part's lock guards it."""
+    """The holders of one part; guarded by the part's lock."""
 
-    def __init__(self, forget: Callable[[HolderName], None]) -> None:
+    def __init__(self, forget_credit: Callable[[HolderName], None]) -> None:
         """Makes an empty table.
 
         Args:
-            forget: Called when a holder's credit is gone for certain.
+            forget_credit: Called when a holder's credit can no longer be spent.
         """
-        self._forget = forget
-        self._holders: dict[HolderName, Holder] = {}
+        self._forget_credit = forget_credit
+        self._holders: dict[HolderName, _HolderState] = {}
 
     def accept(self, name: HolderName, incarnation: str, seq: int) -> bool:
-        """Tells whether a message is the newest of its holder."""
+        """Records a message and returns whether it is its holder's newest.
+
+        The first message of a new process clears the old process's credit.
+        """
         holder = self._holders.get(name)
         if holder is None:
-            holder = self._holders[name] = Holder(incarnation)
+            holder = self._holders[name] = _HolderState(incarnation)
         if incarnation in holder.replaced:
             return False
         if incarnation != holder.incarnation:
-            # The new process has the VM's peer port, so the old one and
-            # the credit in its memory are gone.
-            self._forget(name)
+            # The new process has bound the VM's peer port, so the old one
+            # has ended and the credit in its memory is lost.
+            self._forget_credit(name)
             holder.replaced.add(holder.incarnation)
             holder.incarnation = incarnation
             holder.seq = 0
         if seq <= holder.seq:
-            # A message that was overtaken: what it says is held is not
-            # true any more, and its answer will be dropped.
+            # A newer message arrived first: the credit that this one reports
+            # as held is out of date, and its answer will be dropped.
             return False
         holder.seq = seq
         return True
 
     def sweep(self, is_gone: Callable[[str], bool], page: shares.Page) -> None:
-        """Takes back what holders had that are gone for certain."""
+        """Reclaims the credit of holders that can no longer spend it.
+
+        Args:
+            is_gone: Returns whether a VM has been removed from the fleet.
+            page: The page's current record.
+        """
         for name in list(self._holders):
             if name.for_domain:
-                is_over = _is_settled(name, page)
+                can_reclaim = _is_cleared(name, page)
             else:
-                is_over = is_gone(name.vm)
-            if is_over:
-                self._forget(name)
+                can_reclaim = is_gone(name.vm)
+            if can_reclaim:
+                self._forget_credit(name)
                 del self._holders[name]
 
 
-def _is_settled(name: HolderName, page: shares.Page) -> bool:
-    # What an owner lent on may outlive it in its holders' hands, and no
-    # bound of its own part covers that; it is gone only when a later owner
-    # has heard so from every listed VM.
+def _is_cleared(name: HolderName, page: shares.Page) -> bool:
+    # Tokens that an owner borrowed and granted may remain with its holders
+    # after it is lost, and no bound on its own part covers them. They are gone
+    # only when a later owner has had every listed VM confirm the drop.
     part = page.part(name.for_domain)
     if part is None:
         return False
--- a/packages/daemon/bulrushdeald/limits.py
+++ b/packages/daemon/bulrushdeald/limits.py
@@ -1,9 +1,11 @@
-"""Each customer's rate and burst over all VMs together, by escrow.
-
-The tokens of a row are split between failure domains, and within one lent
-to the VMs that ask. Tokens move only by their donor giving them up first,
-and nothing lapses: a cut, a pause or a lost answer can only leave tokens
-unused. See docs/design/limits.md.
+"""Enforces each customer's rate and burst over all VMs, by escrow.
+
+Customers are grouped into pages by hash. Each page is split into one part
+per failure domain, and each part has one owner VM, which grants the part's
+tokens as credit to the VMs (holders) that ask for it. A token moves only
+after its donor has given it up, and no grant expires: a network partition,
+a paused VM or a lost answer can only leave tokens unused, never admit
+requests above the limit. See docs/design/limits.md.
 """
 
 from collections.abc import Callable
@@ -33,30 +35,32 @@
 
 _log = logs.Log("limits")
 
-TEND_S = 1.0
-REPORT_S = 0.1
-_WATCH_S = 20.0
+TEND_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 0.1
+_WATCH_TIMEOUT_S = 20.0
 # Every VM watches the records, and each change ends all watches. The pause
-# before the next one grows with the fleet, so that all VMs together make at
-# most this many calls a second, however often records change.
-_WATCHES_PER_S = 100.0
-_LEAST_PAUSE_S = 0.5
-_RETRY_S = 1.0
-_FEED_S = 0.3
-# Until the records are read for the first time, each look costs nothing.
-_FIRST_LOOK_S = 0.05
-# A VM that starts says that it is ready without its part of each page, if
-# nobody comes to own them in this time: the platform may be out.
-_READY_S = 5.0
+# before the next watch grows with the number of VMs, so that all VMs together
+# make at most this many calls per second, however often records change.
+_MAX_WATCHES_PER_S = 100.0
+_MIN_WATCH_PAUSE_S = 0.5
+_WATCH_RETRY_S = 1.0
+_PEER_QUERY_INTERVAL_S = 0.3
+# How often the tend thread checks whether the records have been read for the
+# first time; a check only reads a flag.
+_LOAD_POLL_S = 0.05
+# A starting VM reports ready after this time even if some part of its failure
+# domain has no owner yet: the platform may be unavailable.
+_READY_TIMEOUT_S = 5.0
 
 
 class DumpedPart(NamedTuple):
-    """A part that this VM owns, for the dump.
+    """State of one owned part, as written to the dump.
 
     Attributes:
-        page: The page.
-        part: As the record says.
-        customers: Level, lent and borrowed tokens by customer.
+        page: The page number.
+        part: The part as stored in the page's record.
+        customers: For each customer the tokens in the part's bucket, the
+            tokens lent and the tokens borrowed.
     """
 
     page: int
@@ -69,8 +73,8 @@
 
     Attributes:
         owned: The parts that this VM owns.
-        in_hand: Tokens in hand by customer.
-        pages: Pages whose record is known.
+        in_hand: Credit that this VM holds, in tokens by customer.
+        pages: Number of pages whose record this VM has read.
     """
 
     owned: tuple[DumpedPart, ...]
@@ -79,7 +83,10 @@
 
 
 class EscrowLimits:
-    """The service `limits`; needs keyvalue, membership, peers and config."""
+    """The service `limits`.
+
+    It depends on the services keyvalue, membership, peers and config.
+    """
 
     def __init__(
         self,
@@ -92,12 +99,12 @@
         self._clock = clock or clock_lib.SystemClock()
         self._threads: list[threading.Thread] = []
         self._stopping = threading.Event()
-        self._short = threading.Event()
+        self._collection_due = threading.Event()
         self._is_ready = False
         self._ready_by_s: float | None = None
 
     def attach(self) -> None:
-        """Finds the other services; `start` runs the threads as well."""
+        """Connects to the other services without starting any threads."""
         kernel = self._kernel
         keyvalue = kernel.find(services.KEYVALUE, services.KeyValue)
         members = kernel.find(services.MEMBERSHIP, services.Membership)
@@ -135,32 +142,32 @@
         peers.understand(credit.CreditGrants, credit.CreditDropped)
         peers.handle(credit.CreditAsk, self._on_ask)
         peers.handle(credit.CreditDrop, self._on_drop)
-        self._config.on_change(self._on_rows)
+        self._config.on_change(self._on_rows_changed)
 
     def start(self) -> None:
-        """Begins to follow the records and to own parts."""
+        """Attaches the service and starts its threads."""
         self.attach()
-        self._run("limits-watch", self._watch)
-        self._run("limits-feed", self._ask_until_known)
-        self._run("limits-tend", self._tend_loop)
-        self._run("limits-report", self._report_loop)
-        self._run("limits-collect", self._collect_loop)
+        self._start_thread("limits-watch", self._watch)
+        self._start_thread("limits-feed", self._query_peers_until_loaded)
+        self._start_thread("limits-tend", self._tend_loop)
+        self._start_thread("limits-report", self._report_loop)
+        self._start_thread("limits-collect", self._collect_loop)
 
-    def _run(self, name: str, target: Callable[[], None]) -> None:
+    def _start_thread(self, name: str, target: Callable[[], None]) -> None:
         thread = threading.Thread(target=target, name=name, daemon=True)
         thread.start()
         self._threads.append(thread)
 
     def stop(self, grace_s: float) -> None:
-        """Gives back all credit and hands over what this VM owns."""
+        """Returns all credit and gives up the parts that this VM owns."""
         del grace_s
         self._stopping.set()
-        self._short.set()
+        self._collection_due.set()
         self._holder.close()
         self._ownership.close()
 
     def dump(self) -> Any:
-        """Returns what this VM owns and has in hand."""
+        """Returns the owned parts and the credit held, as a `Dump`."""
         owned = tuple(
             DumpedPart(part.page, part.part, dict(part.totals()))
             for part in self._ownership.owned()
@@ -175,8 +182,9 @@
         parts = self._ownership.parts(shares.page_of(row.customer))
         if not parts:
             return None
-        # A part without an owner is given by its next one.
-        given = tuple(
+        # The next owner of a part without one has the next epoch, and only
+        # that epoch may fill the part's bucket.
+        opening_parts = tuple(
             records.OpeningPart(
                 part.failure_domain,
                 part.epoch if part.vm else part.epoch + 1,
@@ -185,7 +193,7 @@
             for part in parts
         )
         return records.Opening(
-            row.customer, row.burst, self._clock.wall_s(), given
+            row.customer, row.burst, self._clock.wall_s(), opening_parts
         )
 
     def take(
@@ -200,7 +208,7 @@
             return credit.CreditGrants(False)
         grants = owned.answer(vm, ask)
         if any(grant.again_s > 0 for grant in grants.grants):
-            self._short.set()
+            self._collection_due.set()
         return grants
 
     def _on_drop(
@@ -214,18 +222,27 @@
                 is_clean = False
         return credit.CreditDropped(is_clean)
 
-    def _on_rows(self) -> None:
-        self._holder.rows_changed()
-        self._rows.change(self._ownership.owned)
+    def _on_rows_changed(self) -> None:
+        self._holder.apply_rows()
+        self._rows.reload(self._ownership.owned)
 
     def refresh(self) -> None:
-        """Reads the records now."""
+        """Reads the records now and adopts the parts assigned to this VM.
+
+        If the platform does not answer and no record is known, the records
+        are requested from peers.
+        """
         if not self._book.refresh() and self._book.is_empty():
             self._feed.ask()
         self._ownership.adopt()
 
     def tend(self) -> None:
-        """Does what is due about once a second."""
+        """Runs one pass of the periodic maintenance, due each second.
+
+        Claims vacant parts, reclaims credit of lost holders, settles debts,
+        rebalances fractions, returns idle credit, and asks all VMs to drop
+        the credit of lost owners.
+        """
         self._ownership.adopt()
         self._ownership.claim()
         self._ownership.adopt()
@@ -233,45 +250,53 @@
         for owned in self._ownership.owned():
             self._collector.settle(owned)
             self._rebalancer.move(owned)
-        self._holder.introduce(self._domain)
+        self._holder.announce(self._domain)
         self._holder.report(only_tight=False)
         self._ownership.clear()
         self._ownership.adopt()
 
     def work(self) -> None:
-        """Does what is due at once: collections and urgent reports."""
+        """Collects tokens for short parts, then runs the urgent tasks."""
         for owned in self._ownership.owned():
             self._collector.collect(owned)
-        self._hurry()
+        self._run_urgent_tasks()
 
-    def _hurry(self) -> None:
+    def _run_urgent_tasks(self) -> None:
+        """Balances low buckets, repays loans and sends early reports."""
         for owned in self._ownership.owned():
             self._collector.balance(owned)
             if owned.can_repay():
-                # A loan keeps the lender from granting as much to others.
+                # Until the loan is repaid, the lender can grant that much
+                # less to others.
                 self._collector.settle(owned)
         self._holder.report(only_tight=True)
 
-    def _ask_until_known(self) -> None:
-        """Asks peers beside the platform: an outage shows only by time-outs."""
+    def _query_peers_until_loaded(self) -> None:
+        """Queries peers for the records until some record is known.
+
+        This runs in parallel with reading them from the platform, because
+        an outage of the platform shows only after calls time out.
+        """
         while self._book.is_empty() and not self._stopping.is_set():
             self._feed.ask()
-            self._stopping.wait(_FEED_S)
+            self._stopping.wait(_PEER_QUERY_INTERVAL_S)
 
     def is_ready(self) -> bool:
         """See `services.Limits`.
 
-        Once ready it stays so: an owner that is lost later is replaced, and
-        to leave the balancer meanwhile would help nobody.
+        Once ready, the VM stays ready: an owner that is lost later is
+        replaced, and leaving the load balancer until then would not help any
+        caller.
         """
         if self._is_ready or self._book.is_empty():
             return self._is_ready
         now_s = self._clock.monotonic_s()
         if self._ready_by_s is None:
-            self._ready_by_s = now_s + _READY_S
-        # The failure: a fleet starts, and a VM that has no part to take from
-        # refuses its first callers. Each part has an owner within a second
-        # or two, unless the platform is out; then other parts have to do.
+            self._ready_by_s = now_s + _READY_TIMEOUT_S
+        # While a fleet starts, a VM whose failure domain has a part without
+        # an owner would refuse its first callers. Each part gets an owner
+        # within one or two seconds unless the platform is unavailable; in
+        # that case the VM takes tokens from other failure domains' parts.
         self._is_ready = (
             self._book.is_owned(self._domain) or now_s >= self._ready_by_s
         )
@@ -280,36 +305,38 @@
     def _watch(self) -> None:
         while not self._stopping.is_set():
             pause_s = _watch_pause_s(len(self._members.entry_vms()))
-            if not self._book.follow(_WATCH_S):
-                pause_s = max(pause_s, _RETRY_S)
+            if not self._book.follow(_WATCH_TIMEOUT_S):
+                pause_s = max(pause_s, _WATCH_RETRY_S)
             self._stopping.wait(pause_s)
 
     def _tend_loop(self) -> None:
-        looks = int(TEND_S / _FIRST_LOOK_S)
-        while looks and not self._book.is_loaded:
-            self._stopping.wait(_FIRST_LOOK_S)
-            looks -= 1
+        polls_left = int(TEND_INTERVAL_S / _LOAD_POLL_S)
+        while polls_left and not self._book.is_loaded:
+            self._stopping.wait(_LOAD_POLL_S)
+            polls_left -= 1
         while not self._stopping.is_set():
-            self._guarded(self.tend)
-            self._stopping.wait(TEND_S)
+            self._run_guarded(self.tend)
+            self._stopping.wait(TEND_INTERVAL_S)
 
     def _report_loop(self) -> None:
-        while not self._stopping.wait(REPORT_S):
-            self._guarded(self._hurry)
+        while not self._stopping.wait(REPORT_INTERVAL_S):
+            self._run_guarded(self._run_urgent_tasks)
 
     def _collect_loop(self) -> None:
         while not self._stopping.is_set():
-            self._short.wait()
-            self._short.clear()
+            self._collection_due.wait()
+            self._collection_due.clear()
             for owned in self._ownership.owned():
-                self._guarded(functools.partial(self._collector.collect, owned))
+                self._run_guarded(
+                    functools.partial(self._collector.collect, owned)
+                )
 
-    def _guarded(self, step: Callable[[], None]) -> None:
+    def _run_guarded(self, step: Callable[[], None]) -> None:
         try:
             step()
-        except Exception:  # noqa: BLE001 - the thread has to go on.
+        except Exception:  # noqa: BLE001 - the thread must continue.
             _log.exception("A step failed; it is tried again.")
 
 
 def _watch_pause_s(vms: int) -> float:
-    return max(_LEAST_PAUSE_S, vms / _WATCHES_PER_S)
+    return max(_MIN_WATCH_PAUSE_S, vms / _MAX_WATCHES_PER_S)
--- a/packages/daemon/bulrushdeald/pagerows.py
+++ b/packages/daemon/bulrushdeald/pagerows.py
@@ -1,4 +1,4 @@
-"""The configuration's rows by page of the limits, as owned parts need them."""
+"""The configuration's customer rows, grouped by page for the owned parts."""
 
 from collections.abc import Callable
 import threading
@@ -12,13 +12,13 @@
 
 
 class PageRows:
-    """Gives each owned part the newest rows.
+    """Supplies each owned part with the newest rows.
 
-    The failure: a row changes just as a part comes to be owned. It shows as
-    a customer that is refused until the table is next edited: the part got
-    rows that were read before, and the change met no part to tell. So a part
-    gets its rows and is published under the lock under which a change reads
-    the rows and tells all parts: one of the two comes after the other.
+    One lock guards two steps: giving a new part its rows and publishing it,
+    and reading changed rows and giving them to all published parts. Without
+    it, a row could change after a new part's rows were read and before the
+    part was published. The part would miss the change, and the customer would
+    be refused until the table was next edited.
     """
 
     def __init__(self, config: services.Config) -> None:
@@ -29,17 +29,26 @@
     def publish(
         self, part: owner.OwnedPart, publish: Callable[[], None]
     ) -> None:
-        """Gives a part its rows and calls `publish`."""
+        """Gives a new part its rows and publishes it.
+
+        Args:
+            part: The new part.
+            publish: Adds the part to those that `reload` updates.
+        """
         with self._lock:
             if self._rows is None:
                 self._rows = self._read()
             part.set_rows(self._rows.get(part.page, {}))
             publish()
 
-    def change(
+    def reload(
         self, published: Callable[[], tuple[owner.OwnedPart, ...]]
     ) -> None:
-        """Reads the rows again and gives them to all published parts."""
+        """Reads the rows again and gives them to all published parts.
+
+        Args:
+            published: Returns the published parts.
+        """
         with self._lock:
             self._rows = self._read()
             for part in published():
--- a/packages/daemon/bulrushdeald/rebalance.py
+++ b/packages/daemon/bulrushdeald/rebalance.py
@@ -1,8 +1,8 @@
-"""Moves fractions of a page between failure domains, after demand.
+"""Moves fractions of a page between failure domains to follow demand.
 
-An owner that gave another part many more tokens than it got back moves a
-piece of its fraction there. It lowers itself first; one write then changes
-both parts in the record.
+An owner that lent another part many more tokens than it received back moves
+some of its fraction to that part. It lowers its own fraction first; one write
+then changes both parts in the record.
 """
 
 from collections.abc import Callable
@@ -13,40 +13,45 @@
 from bulrushdeald import sharebook
 from bulrushdeald import shares
 
-# How often one part may move: at 1,024 parts at most 34 writes a second.
+# How often a part may move some of its fraction: with 1,024 parts that is at
+# most 34 writes per second.
 REBALANCE_S = 30.0
-# Less than this of a page is not worth a write.
-_LEAST_MOVE = 0.02
-_GREATEST_MOVE = 0.1
-# Each part keeps this much of an even split, to serve from when cut off.
-_FLOOR = 0.5
+# A smaller fraction of a page is not worth a write.
+_MIN_MOVE = 0.02
+_MAX_MOVE = 0.1
+# Each part keeps this fraction of an even split, so that its failure domain can
+# admit requests while it is cut off from the others.
+_FLOOR_FRACTION = 0.5
 
 
 class _Move(NamedTuple):
-    """How much of a page goes to which part."""
+    """A fraction of a page to move, and the part that receives it."""
 
     receiver: shares.Part
     fraction: float
 
 
-def _needy(own: shares.Part, page: shares.Page) -> _Move | None:
-    """Returns what a part above an even split gives one below its floor.
+def _floor_move(own: shares.Part, page: shares.Page) -> _Move | None:
+    """Returns a move to a part below its floor from one above an even split.
 
-    The failure: a failure domain that is new begins with nothing and lives
-    on loans; cut off from the others it would refuse all its callers. So it
-    gets its floor at once, without waiting for demand to show.
+    A new failure domain starts with a fraction of zero and depends on loans:
+    if it were cut off from the others, it would refuse all its callers. It
+    therefore receives its floor at once, before any demand is measured.
+
+    Returns:
+        The move; `None` if none is needed or possible.
     """
     even = 1.0 / len(page.parts)
     poorest = min(page.parts, key=lambda part: part.fraction)
-    lacking = _FLOOR * even - poorest.fraction
+    lacking = _FLOOR_FRACTION * even - poorest.fraction
     moved = min(lacking, own.fraction - even)
-    if not poorest.vm or moved < _LEAST_MOVE * even:
+    if not poorest.vm or moved < _MIN_MOVE * even:
         return None
     return _Move(poorest, moved)
 
 
 class Rebalancer:
-    """Moves fractions from this VM's parts."""
+    """Moves fractions from the parts that this VM owns."""
 
     def __init__(
         self,
@@ -60,14 +65,15 @@
         self._due_s: dict[tuple[int, str], float] = {}
 
     def move(self, owned: owner.OwnedPart) -> None:
-        """Settles a move under way, or begins one that is due."""
+        """Resolves a move whose write is unconfirmed, or begins one if due."""
         stored = self._book.get(owned.page)
         if stored is None or stored.page.part(owned.source[0]) != owned.part:
             return
         if owned.is_moving(stored.revision):
-            # The write had no answer and may still arrive. Only a record
-            # of a newer revision shows that it can take no effect: until
-            # then the fraction stays low, and the same is tried again.
+            # The write had no answer and may still take effect until the
+            # record has a newer revision. Until then the fraction stays
+            # lowered, and each pass rewrites the record with only a new
+            # nonce, to raise its revision.
             self._book.put(
                 owned.page,
                 stored.page._replace(nonce=self._nonce()),
@@ -75,9 +81,9 @@
             )
             return
         owned.end_move()
-        needy = _needy(owned.part, stored.page)
-        if needy is not None:
-            self._write(owned, stored, needy)
+        floor_move = _floor_move(owned.part, stored.page)
+        if floor_move is not None:
+            self._write(owned, stored, floor_move)
             return
         now_s = self._clock.monotonic_s()
         key = (owned.page, owned.part.failure_domain)
@@ -91,10 +97,10 @@
         receiver = stored.page.part(found.failure_domain)
         if receiver is None:
             return
-        floor = _FLOOR / len(stored.page.parts)
+        floor = _FLOOR_FRACTION / len(stored.page.parts)
         spare = owned.part.fraction - floor
-        moved = min(found.fraction, _GREATEST_MOVE, spare)
-        if moved < _LEAST_MOVE:
+        moved = min(found.fraction, _MAX_MOVE, spare)
+        if moved < _MIN_MOVE:
             return
         self._write(owned, stored, _Move(receiver, moved))
 
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits over several VMs joined by small fakes."""
+"""Tests the limits over several VMs connected by small fakes."""
 
 from concurrent import futures
 from typing import Any
@@ -40,8 +40,9 @@
 def test_small_burst_over_many_domains_can_be_used_anywhere(
     domains: int, burst: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A customer is refused though nobody used its burst: the tokens stand
-    # in many parts, and an owner pauses after asking several in vain.
+    # Guards against refusing a customer whose burst is unused: its tokens are
+    # spread over many parts, and an owner pauses its collections after asking
+    # several parts without success.
     monkeypatch.setattr(shares, "PAGES", 1)
     fleet = _fleet(
         domains, 1, records.Customer("acme", rate_per_s=2, burst=burst)
@@ -52,21 +53,20 @@
 def test_requests_that_share_a_message_are_each_admitted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Two teachers ask at the same moment, far inside their school's rate,
-    # and one of them is refused with 429. Both requests went to the owner in
-    # one message, its answer held tokens for one, and the other was told
-    # "used up" though it could have asked again. Cause: a request that
-    # shared a message never saw what the message brought.
+    # Guards against a 429 for one of two simultaneous requests well within
+    # the rate. Both shared one message to the owner, whose answer granted
+    # tokens for one; the other was refused instead of asking again, because
+    # it did not receive the message's reply.
     joined: list[str] = []
-    add = asker.Round.add
+    add = asker.PendingAsk.add
 
-    def count(
-        self: asker.Round, customer: str, need: float, want: float
+    def add_and_note(
+        self: asker.PendingAsk, customer: str, need: float, want: float
     ) -> None:
         add(self, customer, need, want)
         joined.append(customer)
 
-    monkeypatch.setattr(asker.Round, "add", count)
+    monkeypatch.setattr(asker.PendingAsk, "add", add_and_note)
     fleet = _fleet(2, 2, records.Customer("acme", rate_per_s=2, burst=6))
     page = shares.from_bytes(
         fleet.keyvalue.entries[shares.key_of(shares.page_of("acme"))].value
@@ -76,19 +76,19 @@
     with futures.ThreadPoolExecutor(2) as pool:
         others: list[futures.Future[bool]] = []
 
-        def meanwhile() -> None:
+        def submit_two_more() -> None:
             others.extend(pool.submit(_take, fleet, vm) for _ in range(2))
             controlplane.wait_until(lambda: len(joined) == 3)
 
-        fleet.net.in_flight = meanwhile
+        fleet.net.in_flight = submit_two_more
         assert _take(fleet, vm)
         assert [other.result() for other in others] == [True, True]
 
 
 def test_new_customer_has_its_burst_at_once() -> None:
-    # A customer is created and its first requests, far inside its rate and
-    # burst, are refused with 429. Cause: its buckets began empty, as an
-    # owner could not tell a row that is new from one that is new to it.
+    # Guards against a 429 for a new customer's first requests, well within
+    # its rate and burst. Its buckets started empty, because an owner could not
+    # distinguish a newly created row from one it had not seen before.
     row = records.Customer("acme", rate_per_s=2, burst=12)
     fleet = _fleet(3, 2)
     opening = fleet.nodes["d2v1"].limits.opening(row)
@@ -97,9 +97,9 @@
     assert sum(_take(fleet, "d1v0") for _ in range(40)) == 12
 
 
-def test_customer_made_before_its_limits_are_owned_has_its_burst() -> None:
-    # The same on the day a fleet starts: its operators make the first
-    # customer before any VM has come to own a part.
+def test_customer_created_before_its_limits_are_owned_has_its_burst() -> None:
+    # As above while a fleet starts: the operators create the first customer
+    # before any VM owns a part.
     row = records.Customer("acme", rate_per_s=2, burst=12)
     fleet = limitfakes.Fleet(())
     for domain in range(3):
@@ -112,25 +112,26 @@
 
 
 def test_vm_is_ready_when_its_part_of_each_page_is_owned() -> None:
-    # A fleet starts, the balancer sends callers to a VM at once, and all of
-    # them are refused. Cause: it said that it was ready when it knew any
-    # record, though nobody owned its failure domain's part yet.
+    # Guards against refusing all callers of a VM while a fleet starts. The VM
+    # reported ready as soon as it had read any record, though its failure
+    # domain's part had no owner yet, and the load balancer sent it requests.
     fleet = limitfakes.Fleet(())
     fleet.add("d0v0", "d0")
     fleet.settle(1)
-    late = fleet.add("d1v0", "d1").limits
-    late.refresh()
-    assert not late.is_ready()
+    second = fleet.add("d1v0", "d1").limits
+    second.refresh()
+    assert not second.is_ready()
     fleet.settle(1)
-    assert late.is_ready()
+    assert second.is_ready()
     fleet.kill("d0v0")
     del fleet.listed["d0v0"]
-    assert late.is_ready()
+    assert second.is_ready()
 
 
 def test_vm_is_ready_after_a_while_if_nobody_can_own_its_part() -> None:
-    # The platform is out when a failure domain's only VM is replaced: its
-    # part stays without an owner, and the others' have to do.
+    # The platform is unavailable while a failure domain's only VM is replaced:
+    # the part stays without an owner, and the VM must take tokens from the
+    # other parts instead of never becoming ready.
     fleet = _fleet(2, 1)
     fleet.nodes["d0v0"].limits.stop(0.0)
     fleet.kill("d0v0")
@@ -143,21 +144,21 @@
     assert replaced.is_ready()
 
 
-def test_claim_that_meets_another_is_tried_again_at_once(
+def test_claim_that_loses_to_another_is_retried_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A fleet of 16 failure domains starts, and some VMs refuse their callers
-    # for many seconds. All claim their parts of a page in the same moment,
-    # one of them wins the write, and the others waited a second each time.
+    # Guards against VMs that refuse their callers for many seconds while a
+    # fleet of 16 failure domains starts. All claim their parts of a page at the
+    # same time, one write wins, and the others waited a second per attempt.
     fleet = limitfakes.Fleet(())
     for domain in range(2):
         fleet.add(f"d{domain}v0", f"d{domain}")
     put = limitfakes.MemoryKeyValue.put
-    meanwhile = [fleet.nodes["d1v0"].limits]
+    competitors = [fleet.nodes["d1v0"].limits]
 
     def put_late(*arguments: Any) -> Any:
-        for other in meanwhile[:]:
-            meanwhile.clear()
+        for other in competitors[:]:
+            competitors.clear()
             other.refresh()
             other.tend()
         return put(*arguments)
@@ -169,13 +170,13 @@
     assert len(limits.dump().owned) == shares.PAGES
 
 
-def test_customer_made_while_a_part_is_claimed_is_served(
+def test_customer_created_while_a_part_is_claimed_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A customer is created in the second in which a VM comes to own its
-    # limits, and is refused there with 429 until the table is next edited.
-    # Cause: the rows were read before the claim and given to the part after
-    # it, and the change that came between met no part to tell.
+    # Guards against a customer, created just as a VM becomes the owner of its
+    # part, that gets 429 there until the table is next edited. The rows were
+    # read before the claim and given to the part after it, so the part missed
+    # the change between the two.
     fleet = limitfakes.Fleet(())
     node = fleet.add("d0v0", "d0")
     put = limitfakes.MemoryKeyValue.put
@@ -190,7 +191,7 @@
     assert _take(fleet, "d0v0")
 
 
-def test_refusal_says_when_to_come_back() -> None:
+def test_refusal_says_when_to_retry() -> None:
     fleet = _fleet(2, 2, records.Customer("acme", rate_per_s=4, burst=4))
     while _take(fleet, "d0v0"):
         pass
@@ -202,10 +203,11 @@
     assert 0 < refusal.retry_after_s <= 0.25
 
 
-def test_vm_replaced_in_an_outage_learns_the_owners_from_a_peer() -> None:
-    # The platform is out when a VM is lost and its replacement starts. It
-    # refused every request as unavailable until the outage was over, though
-    # the other failure domain's owner has tokens. Cause: it knew no record.
+def test_vm_replaced_in_an_outage_reads_the_owners_from_a_peer() -> None:
+    # Guards against a VM, started during an outage of the platform, that
+    # refuses every request as unavailable until the outage ends, though the
+    # other failure domain's owner has tokens. It had read no record, so it
+    # had no owner to ask.
     fleet = _fleet(2, 2, records.Customer("acme", rate_per_s=4, burst=8))
     fleet.kill("d0v0")
     fleet.keyvalue.is_out = True
@@ -215,9 +217,9 @@
 
 
 def test_new_failure_domain_can_serve_alone_soon() -> None:
-    # A third failure domain is put into service and soon cut off from the
-    # others. Its callers, inside their rates, were all refused. Cause: it
-    # began with nothing of the rows and was given more only after demand.
+    # Guards against refusing all callers, within their rates, in a new failure
+    # domain that is soon cut off from the others. Its fraction of the rows
+    # started at zero and grew only after demand was measured.
     fleet = _fleet(2, 2, records.Customer("acme", rate_per_s=60, burst=60))
     fleet.add("d2v0", "d2")
     fleet.settle(20)
