--- a/packages/gateway/gateway/calls.py
+++ b/packages/gateway/gateway/calls.py
@@ -1,4 +1,4 @@
-"""The requests that are open on this VM, and how they are ended."""
+"""Tracks the requests that are open on this VM and ends them."""
 
 from collections.abc import Callable
 import threading
@@ -9,24 +9,27 @@
 
 
 class Call:
-    """One open request; any thread may end it, and the first reason stays.
+    """One open request, which any thread may end.
+
+    If it is ended more than once, the first reason is kept. All times are
+    seconds of the monotonic clock.
 
     Attributes:
-        attempt: The caller's name for it.
-        begun_s: When it came, by the monotonic clock.
-        end_s: When it has to have its final answer.
-        caller_end_s: When its caller stops waiting; `None` if unknown.
-        sends: How often it was sent to an upstream.
-        runs: How many of these may have run.
+        attempt: The caller's id for this attempt.
+        started_s: When this VM began to handle the request.
+        due_s: When the final answer is due.
+        caller_deadline_s: When the caller stops waiting; `None` if unknown.
+        sends: How many times the request was sent to an upstream.
+        runs: How many of these sends may have run.
     """
 
     def __init__(
-        self, attempt: str, end_s: float, caller_end_s: float | None
+        self, attempt: str, due_s: float, caller_deadline_s: float | None
     ) -> None:
         self.attempt = attempt
-        self.begun_s = time.monotonic()
-        self.end_s = end_s
-        self.caller_end_s = caller_end_s
+        self.started_s = time.monotonic()
+        self.due_s = due_s
+        self.caller_deadline_s = caller_deadline_s
         self.sends = 0
         self.runs = 0
         self._lock = threading.Lock()
@@ -36,11 +39,14 @@
 
     @property
     def reason(self) -> EndReason:
-        """Why it was ended; empty while it was not."""
+        """Why the request was ended; empty if it was not ended."""
         return self._reason
 
     def end(self, reason: EndReason) -> None:
-        """Ends the request and what it waits for at an upstream."""
+        """Ends the request and cancels its send to an upstream.
+
+        Does nothing if the request was already ended or answered.
+        """
         with self._lock:
             if self._reason or self._is_answered:
                 return
@@ -49,18 +55,21 @@
         if cancel is not None:
             cancel()
 
-    def answered(self) -> None:
-        """Notes that its whole answer is there.
+    def mark_answered(self) -> None:
+        """Marks the answer as complete, so that `end` has no effect.
 
-        A caller that has read the last of it and leaves had its answer.
+        A caller that reads the whole answer and then disconnects was served;
+        its request does not count as ended.
         """
         with self._lock:
             self._is_answered = True
 
     def on_end(self, cancel: Callable[[], None]) -> None:
-        """Calls `cancel` when it is ended, at once if it was already.
+        """Sets the callback that cancels the current send to an upstream.
 
-        It replaces the one given before, whose send is over.
+        It is called when the request is ended, or at once if the request was
+        ended already. It replaces the callback of the previous send, which is
+        over.
         """
         with self._lock:
             self._cancel = cancel
@@ -69,29 +78,33 @@
             cancel()
 
     def age_s(self) -> float:
-        """Returns how long ago it came."""
-        return time.monotonic() - self.begun_s
+        """Returns the time in seconds since the request started."""
+        return time.monotonic() - self.started_s
 
-    def left_s(self) -> float:
-        """Returns how long it has to its final answer."""
-        return self.end_s - time.monotonic()
+    def remaining_s(self) -> float:
+        """Returns the time in seconds until the final answer is due."""
+        return self.due_s - time.monotonic()
 
-    def caller_allowed_s(self) -> float:
-        """Returns how long its caller waits in all; negative if not known."""
-        if self.caller_end_s is None:
+    def caller_timeout_s(self) -> float:
+        """Returns how long the caller waits in total; negative if unknown."""
+        if self.caller_deadline_s is None:
             return -1.0
-        return self.caller_end_s - self.begun_s
+        return self.caller_deadline_s - self.started_s
+
+    def caller_remaining_s(self) -> float:
+        """Returns the deadline in seconds to send to an upstream.
 
-    def caller_left_s(self) -> float:
-        """Returns how long its caller waits on; negative if not known.
+        It exceeds neither the caller's own deadline nor the route's timeout,
+        after which the upstream's work would be wasted.
 
-        What an upstream is told may not be over the caller's own deadline,
-        nor need it work beyond the route's timeout.
+        Returns:
+            The remaining seconds, at least 0; negative if the caller's
+            deadline is unknown.
         """
-        if self.caller_end_s is None:
+        if self.caller_deadline_s is None:
             return -1.0
-        end_s = min(self.caller_end_s, self.end_s)
-        return max(0.0, end_s - time.monotonic())
+        due_s = min(self.caller_deadline_s, self.due_s)
+        return max(0.0, due_s - time.monotonic())
 
 
 class OpenCalls:
@@ -107,19 +120,19 @@
             self._calls.add(call)
 
     def remove(self, call: Call) -> None:
-        """Removes a request; idempotent."""
+        """Removes a request; does nothing if it was already removed."""
         with self._condition:
             self._calls.discard(call)
             if not self._calls:
                 self._condition.notify_all()
 
     def count(self) -> int:
-        """Returns how many are open."""
+        """Returns the number of open requests."""
         with self._condition:
             return len(self._calls)
 
     def end_all(self, reason: EndReason) -> int:
-        """Ends all and returns their number."""
+        """Ends all open requests and returns their number."""
         with self._condition:
             found = tuple(self._calls)
         for call in found:
@@ -127,7 +140,14 @@
         return len(found)
 
     def wait_until_none(self, timeout_s: float) -> bool:
-        """Waits for all requests; tells whether none is left."""
+        """Waits for all requests to finish.
+
+        Args:
+            timeout_s: The longest wait, in seconds.
+
+        Returns:
+            Whether no request is open.
+        """
         with self._condition:
             return self._condition.wait_for(
                 lambda: not self._calls, max(timeout_s, 0)
--- a/packages/gateway/gateway/deadlines.py
+++ b/packages/gateway/gateway/deadlines.py
@@ -1,4 +1,4 @@
-"""Calls back when a time has come, for many requests on one thread."""
+"""Runs callbacks at given times, for many requests on one thread."""
 
 from collections.abc import Callable
 import heapq
@@ -9,20 +9,22 @@
 from bulrushdeal import logs
 
 _log = logs.Log("deadlines")
-_Row = tuple[float, int, Callable[[], None]]
+# The due time, the id and the callback.
+_Timer = tuple[float, int, Callable[[], None]]
 
 
 class Deadlines:
-    """A thread that ends what has run out of time.
+    """Calls back on one thread at the deadlines of requests.
 
-    A read from an upstream blocks for as long as single bytes keep coming,
-    so its own timeout bounds a silence but not a whole answer.
+    The timeout of a read from an upstream limits only the silence between
+    bytes. An answer that keeps arriving slowly never reaches it, so the total
+    time needs a limit of its own.
     """
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
-        self._numbers = itertools.count()
-        self._rows: list[_Row] = []
+        self._ids = itertools.count()
+        self._timers: list[_Timer] = []
         self._cancelled: set[int] = set()
         self._is_stopping = False
         self._thread = threading.Thread(
@@ -30,11 +32,11 @@
         )
 
     def start(self) -> None:
-        """Begins to watch."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the thread; what is still due is not called."""
+        """Ends the thread; callbacks that are still pending are not called."""
         with self._condition:
             self._is_stopping = True
             self._condition.notify()
@@ -42,47 +44,51 @@
     def add(
         self, due_s: float, callback: Callable[[], None]
     ) -> Callable[[], None]:
-        """Calls back at a time of the monotonic clock.
+        """Schedules a callback.
+
+        Args:
+            due_s: When to call it, in seconds of the monotonic clock.
+            callback: Called on this object's thread.
 
         Returns:
-            What forgets it.
+            A function that cancels the callback.
         """
         with self._condition:
-            number = next(self._numbers)
-            is_next = not self._rows or due_s < self._rows[0][0]
-            heapq.heappush(self._rows, (due_s, number, callback))
+            timer_id = next(self._ids)
+            is_next = not self._timers or due_s < self._timers[0][0]
+            heapq.heappush(self._timers, (due_s, timer_id, callback))
             if is_next:
                 self._condition.notify()
-        return lambda: self._forget(number)
+        return lambda: self._cancel(timer_id)
 
-    def _forget(self, number: int) -> None:
+    def _cancel(self, timer_id: int) -> None:
         with self._condition:
-            self._cancelled.add(number)
-            # Most requests end long before their deadline: without this
-            # their rows would stay until then.
-            while self._rows and self._rows[0][1] in self._cancelled:
-                self._cancelled.discard(heapq.heappop(self._rows)[1])
+            self._cancelled.add(timer_id)
+            # Most requests end long before their deadline. Cancelled timers
+            # at the head of the heap are removed now, not when they are due.
+            while self._timers and self._timers[0][1] in self._cancelled:
+                self._cancelled.discard(heapq.heappop(self._timers)[1])
 
     def _run(self) -> None:
         while True:
-            callback = self._next()
+            callback = self._wait_for_due()
             if self._is_stopping:
                 return
             try:
                 callback()
-            except Exception:  # noqa: BLE001 - the others are due as well.
-                _log.exception("What was due could not be ended.")
+            except Exception:  # noqa: BLE001 - the other timers must run.
+                _log.exception("A deadline callback raised an exception.")
 
-    def _next(self) -> Callable[[], None]:
+    def _wait_for_due(self) -> Callable[[], None]:
         with self._condition:
             while not self._is_stopping:
                 now_s = time.monotonic()
-                if self._rows and self._rows[0][0] <= now_s:
-                    _, number, callback = heapq.heappop(self._rows)
-                    if number not in self._cancelled:
+                if self._timers and self._timers[0][0] <= now_s:
+                    _, timer_id, callback = heapq.heappop(self._timers)
+                    if timer_id not in self._cancelled:
                         return callback
-                    self._cancelled.discard(number)
+                    self._cancelled.discard(timer_id)
                     continue
-                wait_s = self._rows[0][0] - now_s if self._rows else None
+                wait_s = self._timers[0][0] - now_s if self._timers else None
                 self._condition.wait(wait_s)
         return lambda: None
--- a/packages/gateway/gateway/eventstream.py
+++ b/packages/gateway/gateway/eventstream.py
@@ -1,78 +1,80 @@
-"""Server-sent events: whole ones, their ids and their data."""
+"""Splits and parses streams of server-sent events."""
 
 from typing import NamedTuple
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
-_MAX_HELD_BYTES = 4_000_000
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+_MAX_PARTIAL_BYTES = 4_000_000
 
 
 class Event(NamedTuple):
-    """One event.
+    """One server-sent event.
 
     Attributes:
-        number: Its id; `None` if it has none that is a number.
-        data: Its data, lines joined by line feeds; `None` if it has none.
+        number: The id; `None` if it is missing or not a number.
+        data: The data lines joined by line feeds; `None` if there are none.
     """
 
     number: int | None
     data: str | None
 
 
-class TooLongError(Exception):
-    """An event has no end within reason."""
+class EventTooLongError(Exception):
+    """An event exceeds the size limit before its end."""
 
 
 class Splitter:
-    """Holds back the part of an event that has not come whole.
+    """Buffers an incomplete event until the rest of it arrives.
 
-    The failure: an upstream breaks off inside an event; what follows from
-    another upstream would be read together with the part as one event.
+    If an upstream breaks off inside an event and the incomplete event had been
+    relayed, the caller would join it with the first event of the next
+    upstream.
     """
 
     def __init__(self) -> None:
-        self._held = b""
+        self._partial = b""
 
     @property
     def has_part(self) -> bool:
-        """Whether a part of an event is held back."""
-        return bool(self._held.strip())
+        """Whether an incomplete event is buffered."""
+        return bool(self._partial.strip())
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the whole events in what has come so far.
+        """Returns the complete events among the bytes fed so far.
 
         Raises:
-            TooLongError: The held part is too long for any event.
+            EventTooLongError: The incomplete event exceeds the size limit.
         """
-        data = self._held + data if self._held else data
-        if data.endswith(_ENDS):
-            self._held = b""
+        data = self._partial + data if self._partial else data
+        if data.endswith(_EVENT_ENDS):
+            self._partial = b""
             return data
-        cut = max(
-            data.rfind(end) + len(end) if end in data else 0 for end in _ENDS
+        whole_bytes = max(
+            data.rfind(end) + len(end) if end in data else 0
+            for end in _EVENT_ENDS
         )
-        self._held = data[cut:]
-        if len(self._held) > _MAX_HELD_BYTES:
-            raise TooLongError
-        return data[:cut]
+        self._partial = data[whole_bytes:]
+        if len(self._partial) > _MAX_PARTIAL_BYTES:
+            raise EventTooLongError
+        return data[:whole_bytes]
 
 
 def parse(whole: bytes) -> list[Event]:
-    """Returns the events in a run of whole ones."""
+    """Parses a sequence of complete events."""
     text = whole.replace(b"\r\n", b"\n")
-    return [_event(part) for part in text.split(b"\n\n") if part.strip()]
+    return [_parse_event(part) for part in text.split(b"\n\n") if part.strip()]
 
 
-def last_number(whole: bytes) -> int | None:
-    """Returns the id of the last event that has one."""
-    # For each event of each stream, so not by way of `parse`.
-    at = whole.rfind(b"\nid:") + 1
-    if at == 0 and not whole.startswith(b"id:"):
+def last_event_id(whole: bytes) -> int | None:
+    """Returns the id in the last `id` line; `None` if it is not a number."""
+    # This runs for every event of every stream, so it avoids `parse`.
+    line_start = whole.rfind(b"\nid:") + 1
+    if line_start == 0 and not whole.startswith(b"id:"):
         return None
-    line = whole[at + 3 :].split(b"\n", 1)[0].strip()
+    line = whole[line_start + 3 :].split(b"\n", 1)[0].strip()
     return int(line) if line.isdigit() else None
 
 
-def _event(part: bytes) -> Event:
+def _parse_event(part: bytes) -> Event:
     number: int | None = None
     data: list[str] = []
     for line in part.split(b"\n"):
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Carries online requests to upstreams, and repeats only what may be."""
+"""Forwards online requests to upstreams and repeats those that may be."""
 
 from collections.abc import Iterator, Mapping
 import http
@@ -25,21 +25,29 @@
 
 _events = eventlog.Events("requests")
 
-# Sends of one attempt that did not run, before it is refused.
+# Sends per request, counting those that did not run, before it is refused.
 _MAX_SENDS = 5
-# While a request that ran finds no slot for its next run it tries again, for
-# so long.
-_NEXT_RUN_S = 1.0
-_NEXT_RUN_PAUSE_S = 0.05
-# Answers up to this size are read whole before the first byte goes on, so
-# that a broken one can be repeated or refused.
-_WHOLE_BYTES = 1 << 20
+# How long a request that has already run retries to get a slot for its next
+# run, and how long it pauses between tries.
+_RERUN_SLOT_WAIT_S = 1.0
+_RERUN_SLOT_POLL_S = 0.05
+# Answers up to this size are read completely before the first byte is relayed,
+# so that a request whose answer breaks can still be repeated or refused.
+_MAX_BUFFERED_BYTES = 1 << 20
 _BUSY_RETRY_S = 0.25
-_SERVER_ERROR = 500
+_FIRST_SERVER_ERROR = 500
 
 
-class Forwarded(NamedTuple):
-    """An online request with what the configuration says of it."""
+class OnlineRequest(NamedTuple):
+    """An online request and its routing.
+
+    Attributes:
+        outgoing: The request to send.
+        route: The route that it matched.
+        service: The service of the route that was chosen for it.
+        last_event: The id of the last stream event that the caller has;
+            `None` to start from the beginning.
+    """
 
     outgoing: sending.Outgoing
     route: records.Route
@@ -48,14 +56,14 @@
 
 
 class Forwarder:
-    """Finds upstreams for a request until one answers, or none may."""
+    """Sends requests to upstreams until one answers or retries run out."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         self._retries = streamretries.StreamRetries()
 
     def start(self) -> None:
-        """Finds the services that it needs."""
+        """Looks up the services that the forwarder uses."""
         self._placement = self._kernel.find(
             names.PLACEMENT, placement.Placement
         )
@@ -70,8 +78,14 @@
         """See `kernel.Service`."""
         return {}
 
-    def forward(self, request: Forwarded, call: calls.Call) -> httpd.Response:
-        """Returns the answer; the call is over when its body is closed."""
+    def forward(
+        self, request: OnlineRequest, call: calls.Call
+    ) -> httpd.Response:
+        """Forwards a request and returns the answer.
+
+        The slot and the upstream connection are held until the answer's body
+        is closed.
+        """
         return _Forwarding(
             self._placement,
             self._sender,
@@ -83,7 +97,7 @@
 
 
 class _Forwarding:
-    """One request on its way."""
+    """The sends, retries and answer of one request."""
 
     def __init__(
         self,
@@ -91,7 +105,7 @@
         sender: sending.Sender,
         meter: metrics.Metrics,
         retries: streamretries.StreamRetries,
-        request: Forwarded,
+        request: OnlineRequest,
         call: calls.Call,
     ) -> None:
         self._placement = placer
@@ -101,47 +115,51 @@
         self._request = request
         self._route = request.route
         self._call = call
-        self._tried: list[str] = []
+        self._tried_instances: list[str] = []
         self._slot: heldslots.Slot | None = None
         self._answer: services.UpstreamAnswer | None = None
         self._last_event = request.last_event
         self._no_slot: placement.NoSlot | None = None
-        self._wait_until_s = 0.0
+        self._slot_wait_until_s = 0.0
         self._sent_s = 0.0
 
     def run(self) -> httpd.Response:
-        """Returns the answer."""
+        """Forwards the request and returns the answer or a refusal."""
         while True:
-            opened = self._open()
+            opened = self._open_answer()
             if opened is None:
                 return self._refuse()
             if self._should_repeat(opened):
-                self._drop()
+                self._release()
                 continue
             response = self._relay(opened)
             if response is not None:
                 return response
 
-    def _open(self) -> sending.Opened | None:
-        """Sends until an answer's head is sound; `None` to give up.
+    def _open_answer(self) -> sending.OpenAnswer | None:
+        """Sends the request until an answer's head is accepted.
 
-        What has run cannot be told to come back any more, so it waits a
-        little for a slot where a new request is refused.
+        A request that has not run is refused if there is no slot. One that has
+        run waits up to `_RERUN_SLOT_WAIT_S` for a slot instead, because the
+        caller can no longer be told that it did not run and to retry.
+
+        Returns:
+            The open answer; `None` if the request is given up.
         """
         while self._may_send():
             taken = self._placement.take(
                 self._request.service,
                 self._route.target_latency_s,
-                self._tried,
+                self._tried_instances,
             )
             if isinstance(taken, result.Err):
                 self._no_slot = taken.err_value
-                if time.monotonic() >= self._wait_until_s:
+                if time.monotonic() >= self._slot_wait_until_s:
                     return None
-                time.sleep(_NEXT_RUN_PAUSE_S)
+                time.sleep(_RERUN_SLOT_POLL_S)
                 continue
             slot = self._slot = taken.ok_value
-            self._tried.append(slot.upstream.instance)
+            self._tried_instances.append(slot.upstream.instance)
             self._call.sends += 1
             if self._may_run_again(1):
                 self._retries.note_send()
@@ -149,7 +167,7 @@
             sent = self._sender.send(
                 self._request.outgoing,
                 slot,
-                left_s=self._call.caller_left_s(),
+                left_s=self._call.caller_remaining_s(),
                 silence_s=self._silence_s(slot),
                 last_event=self._last_event,
                 on_open=self._call.on_end,
@@ -163,44 +181,44 @@
                         slot, self._request.service, load.running + load.waiting
                     )
                 return sent.ok_value
-            self._note(sent.err_value)
-            self._drop()
+            self._record_failure(sent.err_value)
+            self._release()
         return None
 
     def _may_send(self) -> bool:
         call = self._call
-        if call.reason or call.left_s() <= 0 or call.sends >= _MAX_SENDS:
+        if call.reason or call.remaining_s() <= 0 or call.sends >= _MAX_SENDS:
             return False
         return call.runs == 0 or self._may_run_again()
 
     def _silence_s(self, slot: heldslots.Slot) -> float:
-        """Returns how long an upstream may take until the next byte.
+        """Returns how long in seconds the upstream may send no byte.
 
-        The failure: an upstream that was cut off sends nothing, and the
-        caller waits for all the time it has.
+        Without this limit the caller of an upstream that was cut off would
+        wait until its deadline, although another upstream could answer.
         """
-        left_s = max(self._call.left_s(), 0.01)
+        remaining_s = max(self._call.remaining_s(), 0.01)
         if not self._may_run_again(1):
-            return left_s
+            return remaining_s
         target_s = self._route.target_latency_s
         if self._route.kind != "streaming":
-            return min(left_s, streamretries.patient_s(target_s))
+            return min(remaining_s, streamretries.patient_s(target_s))
         first_s = self._retries.first_event_s(
             self._route.name, target_s, is_free=slot.is_free
         )
-        return min(left_s, first_s)
+        return min(remaining_s, first_s)
 
-    def _may_run_again(self, more: int = 0) -> bool:
-        """Tells whether the request may run once more after `more` runs."""
-        runs = self._call.runs + more
+    def _may_run_again(self, extra_runs: int = 0) -> bool:
+        """Returns whether it may run once more after `extra_runs` more runs."""
+        runs = self._call.runs + extra_runs
         return self._route.may_repeat and runs < self._route.max_attempts
 
-    def _note(self, failure: sending.Failure) -> None:
+    def _record_failure(self, failure: sending.Failure) -> None:
         slot = self._slot
         assert slot is not None
-        if failure.has_run:
+        if failure.may_have_run:
             self._call.runs += 1
-            self._wait_until_s = time.monotonic() + _NEXT_RUN_S
+            self._slot_wait_until_s = time.monotonic() + _RERUN_SLOT_WAIT_S
         if failure.kind == "silent" and self._route.kind == "streaming":
             self._retries.note_given_up()
         _events.warning(
@@ -208,14 +226,14 @@
             request=self._call.attempt,
             upstream=slot.upstream.instance,
             kind=failure.kind,
-            has_run=failure.has_run,
+            has_run=failure.may_have_run,
             why=failure.why,
             sends=self._call.sends,
             age_s=round(self._call.age_s(), 3),
         )
 
-    def _drop(self) -> None:
-        """Gives up what the last send holds."""
+    def _release(self) -> None:
+        """Closes the current answer and releases its slot, if there are any."""
         answer, self._answer = self._answer, None
         if answer is not None:
             answer.cancel()
@@ -224,52 +242,60 @@
         if slot is not None:
             slot.release()
 
-    def _should_repeat(self, opened: sending.Opened) -> bool:
-        """Tells whether an upstream's own failure is tried elsewhere."""
-        if opened.answer.status < _SERVER_ERROR:
+    def _should_repeat(self, opened: sending.OpenAnswer) -> bool:
+        """Returns whether to repeat the request after a 5xx answer."""
+        if opened.answer.status < _FIRST_SERVER_ERROR:
             return False
         return self._may_send() and self._placement.has_upstreams(
             self._request.service
         )
 
-    def _relay(self, opened: sending.Opened) -> httpd.Response | None:
+    def _relay(self, opened: sending.OpenAnswer) -> httpd.Response | None:
         if self._is_stream(opened):
             return self._relay_stream(opened)
         return self._relay_whole(opened)
 
-    def _is_stream(self, opened: sending.Opened) -> bool:
+    def _is_stream(self, opened: sending.OpenAnswer) -> bool:
         return (
             self._route.kind == "streaming"
             and opened.answer.status == http.HTTPStatus.OK
         )
 
-    def _relay_whole(self, opened: sending.Opened) -> httpd.Response | None:
-        """Reads the answer; `None` if it broke and may be repeated."""
+    def _relay_whole(self, opened: sending.OpenAnswer) -> httpd.Response | None:
+        """Reads the answer and returns it, or a refusal.
+
+        An answer above `_MAX_BUFFERED_BYTES` is returned before it is read
+        completely.
+
+        Returns:
+            The response; `None` if the answer broke and the request may be
+            repeated.
+        """
         parts: list[bytes] = []
         size_bytes = 0
         chunks = opened.answer.chunks()
         for piece in chunks:
             if isinstance(piece, result.Err):
-                return self._broke(piece.err_value)
+                return self._handle_broken_answer(piece.err_value)
             parts.append(piece.ok_value)
             size_bytes += len(piece.ok_value)
-            if size_bytes > _WHOLE_BYTES:
-                rest = self._rest(parts, chunks)
-                body = caller_calls.Body(rest, self._drop)
+            if size_bytes > _MAX_BUFFERED_BYTES:
+                rest = self._remaining_body(parts, chunks)
+                body = caller_calls.Body(rest, self._release)
                 answer = opened.answer
                 return httpd.Response(answer.status, answer.headers, body)
         if self._call.reason:
             return self._refuse()
-        self._call.answered()
+        self._call.mark_answered()
         data = b"".join(parts)
         headers = opened.answer.headers
         opened.answer.close()
-        self._drop()
+        self._release()
         return httpd.Response(
             opened.answer.status, _with_length(headers, len(data)), (data,)
         )
 
-    def _rest(
+    def _remaining_body(
         self,
         parts: list[bytes],
         chunks: Iterator[result.Result[bytes, services.UpstreamError]],
@@ -280,23 +306,27 @@
                 raise caller_calls.BrokenAnswerError(piece.err_value.message)
             yield piece.ok_value
 
-    def _broke(self, error: services.UpstreamError) -> httpd.Response | None:
+    def _handle_broken_answer(
+        self, error: services.UpstreamError
+    ) -> httpd.Response | None:
         slot = self._slot
         assert slot is not None
-        failure = self._sender.failure(slot, error)
+        failure = self._sender.record_failure(slot, error)
         self._call.runs -= 1
-        self._note(failure._replace(has_run=True))
-        self._drop()
+        self._record_failure(failure._replace(may_have_run=True))
+        self._release()
         return None if self._may_send() else self._refuse()
 
-    def _relay_stream(self, opened: sending.Opened) -> httpd.Response | None:
-        """Relays events as they come, from the first one on.
+    def _relay_stream(
+        self, opened: sending.OpenAnswer
+    ) -> httpd.Response | None:
+        """Relays a stream's events as they arrive.
 
-        The head waits for the first event: if that never comes, the caller
-        gets a whole answer that says so.
+        The response head is held back until the first event, so that the
+        caller gets a proper error response if none arrives.
         """
         headers = opened.answer.headers
-        chunks = self._stream(opened)
+        chunks = self._stream_events(opened)
         try:
             first = next(chunks, b"")
         except caller_calls.BrokenAnswerError:
@@ -308,7 +338,7 @@
             yield first
             yield from chunks
 
-        body = caller_calls.Body(events(), self._drop)
+        body = caller_calls.Body(events(), self._release)
         return httpd.Response(opened.answer.status, headers, body)
 
     def _note_first_event(self) -> None:
@@ -317,13 +347,13 @@
             took_s = time.monotonic() - self._sent_s
             self._retries.note_first_event(self._route.name, took_s)
 
-    def _stream(self, opened: sending.Opened) -> Iterator[bytes]:
-        """Yields whole events, over all upstreams that it runs on.
+    def _stream_events(self, opened: sending.OpenAnswer) -> Iterator[bytes]:
+        """Yields complete events from each upstream that the stream runs on.
 
         Raises:
-            BrokenAnswerError: The stream cannot be made whole.
+            BrokenAnswerError: The stream broke and cannot be resumed.
         """
-        current: sending.Opened | None = opened
+        current: sending.OpenAnswer | None = opened
         while current is not None:
             splitter = eventstream.Splitter()
             error: services.UpstreamError | None = None
@@ -331,27 +361,27 @@
                 if isinstance(piece, result.Err):
                     error = piece.err_value
                     break
-                whole = splitter.feed(piece.ok_value)
-                self._hear()
-                if whole:
-                    self._expect_more(current)
-                    number = eventstream.last_number(whole)
-                    if number is not None:
-                        self._last_event = number
-                    yield whole
+                whole_events = splitter.feed(piece.ok_value)
+                self._mark_upstream_heard()
+                if whole_events:
+                    self._limit_gap(current)
+                    event_id = eventstream.last_event_id(whole_events)
+                    if event_id is not None:
+                        self._last_event = event_id
+                    yield whole_events
             if error is None and not splitter.has_part:
-                self._call.answered()
-                self._finish()
+                self._call.mark_answered()
+                self._close_answer()
                 return
             current = self._resume(error)
         raise caller_calls.BrokenAnswerError("the stream broke off")
 
-    def _expect_more(self, opened: sending.Opened) -> None:
-        """Lets a stream that has begun pause only as long as is on time.
+    def _limit_gap(self, opened: sending.OpenAnswer) -> None:
+        """Limits pauses in a stream that has begun, by the route's gap target.
 
-        The failure: an upstream is cut off or freezes in the middle of a
-        stream. The caller sees a pause of the time that a first event may
-        take, although another upstream could go on at once.
+        If the upstream is cut off or freezes in the middle of a stream, the
+        caller would otherwise see a pause as long as a first event may take,
+        although another upstream could continue at once.
         """
         if not self._route.gap_target_s or not self._may_run_again():
             return
@@ -360,62 +390,69 @@
         )
         opened.answer.allow_silence(gap_s)
 
-    def _hear(self) -> None:
+    def _mark_upstream_heard(self) -> None:
         if self._slot is not None:
             self._placement.health.heard(self._slot.upstream.instance)
 
-    def _finish(self) -> None:
+    def _close_answer(self) -> None:
         answer, self._answer = self._answer, None
         if answer is not None:
             answer.close()
-        self._drop()
+        self._release()
 
     def _resume(
         self, error: services.UpstreamError | None
-    ) -> sending.Opened | None:
-        """Goes on at another upstream, if the stream may be resumed."""
+    ) -> sending.OpenAnswer | None:
+        """Resumes a broken stream at another upstream, if that is allowed.
+
+        Args:
+            error: Why the stream broke; `None` if it ended inside an event.
+
+        Returns:
+            The open answer that continues the stream; `None` if there is none.
+        """
         slot = self._slot
         assert slot is not None
         if error is None:
             error = services.UpstreamError("crashed", "ran", "cut in an event")
-        failure = self._sender.failure(slot, error)
+        failure = self._sender.record_failure(slot, error)
         self._call.runs -= 1
-        self._note(failure._replace(has_run=True))
-        self._drop()
-        opened = self._open()
+        self._record_failure(failure._replace(may_have_run=True))
+        self._release()
+        opened = self._open_answer()
         if opened is None or self._is_stream(opened):
             return opened
-        self._drop()
+        self._release()
         return None
 
     def _refuse(self) -> httpd.Response:
-        row = self._refusal()
-        self._drop()
+        refusal = self._refusal()
+        self._release()
         _events.warning(
             "refused",
             request=self._call.attempt,
             route=self._route.name,
             service=self._request.service,
-            status=row.status,
-            why=row.why,
-            retry_after_s=round(row.retry_after_s, 3),
+            status=refusal.status,
+            why=refusal.why,
+            retry_after_s=round(refusal.retry_after_s, 3),
             sends=self._call.sends,
             runs=self._call.runs,
             age_s=round(self._call.age_s(), 3),
-            left_s=round(self._call.left_s(), 3),
-            tried=self._tried,
+            left_s=round(self._call.remaining_s(), 3),
+            tried=self._tried_instances,
             occupancy=self._occupancy(),
         )
-        return replies.refusal(row)
+        return replies.refusal(refusal)
 
     def _occupancy(self) -> Mapping[str, float]:
-        """Returns how full the engines were, by their leader, for the log."""
-        row = None if self._no_slot is None else self._no_slot.occupancy
-        return {} if row is None else row._asdict()
+        """Returns the engines' occupancy as their leader reported it."""
+        occupancy = None if self._no_slot is None else self._no_slot.occupancy
+        return {} if occupancy is None else occupancy._asdict()
 
     def _refusal(self) -> replies.Refusal:
         call = self._call
-        is_late = call.reason == "timeout" or call.left_s() <= 0
+        is_late = call.reason == "timeout" or call.remaining_s() <= 0
         if call.runs and is_late:
             return replies.Refusal(504, "no answer in time")
         if call.runs:
--- a/packages/gateway/gateway/front.py
+++ b/packages/gateway/gateway/front.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server, readiness, and the graceful stop."""
+"""The HTTP server for callers, the readiness check and the graceful stop."""
 
 from collections.abc import Callable
 import time
@@ -31,41 +31,47 @@
 _log = logs.Log("front")
 _events = eventlog.Events("front")
 
-# A thread for each request that is open; each takes about 40 kB.
-_THREADS = 160
+# Each open connection takes one thread, and each thread about 40 kB.
+_CALLER_THREADS = 160
 _READY_THREADS = 4
-# The balancer asks each second and takes a VM out after two misses; until
-# then it sends new connections, which must find a listener.
-_UNREADY_S = 3.2
-# Of the grace, what is left for closing when requests still run.
-_CLOSE_S = 0.3
+# The load balancer checks readiness every second and removes a VM after two
+# failed checks. Until then it opens new connections, which the VM must accept.
+_BALANCER_NOTICE_S = 3.2
+# The part of the grace period that is reserved for closing connections when
+# requests are still running.
+_CLOSE_RESERVE_S = 0.3
 _NOT_READY_RETRY_S = 0.5
 _DEFAULT_DEADLINE_S = 60.0
-_FAILED = 400
+_FIRST_ERROR_STATUS = 400
 _READY_PATH = "/ready"
 
 
 class Front:
-    """Serves callers from the first configuration on."""
+    """Serves callers once this VM has a configuration.
+
+    Until then it refuses their requests.
+    """
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: records.Settings
     ) -> None:
         self._kernel = kernel
         self._settings = settings
-        self._open = calls.OpenCalls()
+        self._open_calls = calls.OpenCalls()
         self._departures = departures.Departures()
         self._deadlines = deadlines.Deadlines()
         self._state: Literal["serving", "stopping"] = "serving"
-        # How long callers' connections may rest, by the version in force.
+        # The idle timeout of callers' connections in the current configuration.
         self._idle_s = 0.0
 
     def start(self) -> None:
-        """Listens."""
+        """Starts the HTTP servers for callers and for readiness checks."""
         find = self._kernel.find
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
         self._feed = find(names.CONFIGURATION, configuration.Feed)
-        self._list = find(names.UPSTREAM_LIST, upstreamlist.UpstreamList)
+        self._upstream_list = find(
+            names.UPSTREAM_LIST, upstreamlist.UpstreamList
+        )
         self._metrics = find(names.METRICS, metrics.Metrics)
         self._rates = find(names.RATES, rates.Rates)
         self._placement = find(names.PLACEMENT, placement.Placement)
@@ -76,77 +82,84 @@
         self._server = httpd.Server(
             self._settings.callers_address,
             self._serve,
-            _THREADS,
+            _CALLER_THREADS,
             replies.refusal(_BUSY),
         )
-        self._feed.on_change(self._bound)
-        self._bound()
+        self._feed.on_change(self._apply_connection_limits)
+        self._apply_connection_limits()
         self._server.start()
-        self._ready = httpd.Server(
+        self._ready_server = httpd.Server(
             self._settings.ready_address, self._serve_ready, _READY_THREADS
         )
-        self._ready.start()
+        self._ready_server.start()
 
     @property
     def port(self) -> int:
-        """The callers' port."""
+        """The port that callers connect to."""
         return self._server.port
 
-    def _bound(self) -> None:
-        """Applies what operators set for callers' connections.
+    def _apply_connection_limits(self) -> None:
+        """Applies the configured header size and idle timeout.
 
-        The failure: a new version shortens the time that a connection may
-        rest, and callers that know the one before send on connections that
-        are being closed. So the longer one of the last two versions counts.
+        The longer idle timeout of the last two configuration versions
+        applies. If a shorter one applied at once, callers that still use the
+        previous value would send on connections that are being closed.
         """
-        held = self._feed.current()
-        if held is None:
+        in_force = self._feed.current()
+        if in_force is None:
             return
-        bounds = held.configuration.bounds
-        before_s, self._idle_s = self._idle_s, bounds.idle_timeout_s
+        bounds = in_force.configuration.bounds
+        previous_s, self._idle_s = self._idle_s, bounds.idle_timeout_s
         self._server.bound(
-            bounds.max_header_bytes, max(before_s, bounds.idle_timeout_s)
+            bounds.max_header_bytes, max(previous_s, bounds.idle_timeout_s)
         )
 
     def stop(self, grace_s: float) -> None:
-        """Stops without cutting a request short, within `grace_s` seconds.
+        """Stops within `grace_s` seconds and lets open requests finish.
 
-        First the balancer is told, and callers by `Connection: close`,
-        while all are still served; then open requests are waited for.
+        The readiness check fails first, and responses carry
+        `Connection: close`, while requests are still served. Then the server
+        closes and waits for open requests; those that still run shortly
+        before the end of the grace period are ended.
+
+        Args:
+            grace_s: The grace period in seconds.
         """
         end_s = time.monotonic() + grace_s
         self._state = "stopping"
-        time.sleep(min(_UNREADY_S, grace_s / 2))
-        # Callers keep connections that were idle all the while: a request
-        # that came over one late in the grace would be cut by its end. So
-        # idle ones are closed while there is time for what is open.
-        cut = self._deadlines.add(end_s - _CLOSE_S, self._cut_all)
-        self._server.stop(max(end_s - time.monotonic(), _CLOSE_S))
-        cut()
-        self._ready.stop(0.1)
+        time.sleep(min(_BALANCER_NOTICE_S, grace_s / 2))
+        # Stopping the server closes idle connections now, with time left for
+        # open requests. A request that arrived on an idle connection late in
+        # the grace period would be cut off when the period ends.
+        cancel_deadline = self._deadlines.add(
+            end_s - _CLOSE_RESERVE_S, self._end_open_calls
+        )
+        self._server.stop(max(end_s - time.monotonic(), _CLOSE_RESERVE_S))
+        cancel_deadline()
+        self._ready_server.stop(0.1)
         self._departures.stop()
         self._deadlines.stop()
 
-    def _cut_all(self) -> None:
-        count = self._open.end_all("stopping")
+    def _end_open_calls(self) -> None:
+        count = self._open_calls.end_all("stopping")
         if count:
             _events.warning("cut", requests=count, why="the grace is over")
 
     def dump(self) -> Any:
-        """Returns the state and how many requests are open."""
-        return {"state": self._state, "open": self._open.count()}
+        """Returns the serving state and the number of open requests."""
+        return {"state": self._state, "open": self._open_calls.count()}
 
     def is_ready(self) -> bool:
-        """Tells whether the balancer may send callers.
+        """Returns whether the load balancer may send callers to this VM.
 
-        The failure: a failure domain is cut off from the upstreams of a
-        service and callers still reach it; each of them would be refused
-        although VMs of other domains could serve it.
+        A VM that is cut off from all upstreams of a service is not ready:
+        callers may still reach it, and it would refuse requests that VMs in
+        other failure domains can serve.
         """
         return (
             self._state == "serving"
             and self._feed.current() is not None
-            and self._list.is_known()
+            and self._upstream_list.is_known()
             and not self._placement.is_cut_off()
         )
 
@@ -159,20 +172,20 @@
     def _serve(self, request: httpd.Request) -> httpd.Response:
         try:
             response = self._respond(request)
-        except Exception:  # noqa: BLE001 - the caller gets an answer.
-            _log.exception("A request failed.")
-            response = replies.refusal(_INTERNAL)
+        except Exception:  # noqa: BLE001 - the caller gets a 500.
+            _log.exception("Unhandled exception while serving a request.")
+            response = replies.refusal(_INTERNAL_ERROR)
         self._metrics.answered(response.status)
         if self._state == "serving" and not self._placement.is_cut_off():
             return response
-        # A caller that keeps its connection would send its next request
-        # into the stop, or to a VM that cannot serve it.
+        # On a kept connection the caller's next request would reach a VM that
+        # is stopping or cannot serve it.
         headers = (*response.headers, ("Connection", "close"))
         return response._replace(headers=headers)
 
     def _respond(self, request: httpd.Request) -> httpd.Response:
-        held = self._feed.current()
-        if held is None:
+        in_force = self._feed.current()
+        if in_force is None:
             return replies.refusal(_NO_CONFIGURATION)
         try:
             head = self._dialect.caller_head(request.headers)
@@ -182,100 +195,104 @@
         except dialect_lib.BadInputError as error:
             return replies.refusal(replies.Refusal(400, str(error)))
         host = request.headers.get("host", "")
-        if job_call is not None and held.has_host(host):
-            return self._serve_job_call(held, head, job_call)
-        route = held.route(host, request.path)
+        if job_call is not None and in_force.has_host(host):
+            return self._serve_job_call(in_force, head, job_call)
+        route = in_force.route(host, request.path)
         if route is None:
             _events.warning(
                 "no_route",
                 request=head.attempt,
                 host=host,
                 path=request.path,
-                version=held.version,
+                version=in_force.version,
             )
             return replies.refusal(replies.Refusal(404, "no such route"))
-        customer = self._customer(held, head, route)
+        customer = self._authenticate(in_force, head, route)
         if isinstance(customer, replies.Refusal):
             _events.warning(
-                "unauthorized", request=head.attempt, version=held.version
+                "unauthorized", request=head.attempt, version=in_force.version
             )
             return replies.refusal(customer)
-        return self._serve_route(request, held, head, route, customer)
+        return self._serve_route(request, in_force, head, route, customer)
 
-    def _customer(
+    def _authenticate(
         self,
-        held: configuration.InForce,
+        in_force: configuration.InForce,
         head: dialect_lib.CallerHead,
         route: records.Route | None,
     ) -> records.Customer | replies.Refusal | None:
-        if not held.has_customers or (route is not None and route.is_public):
+        if not in_force.has_customers or (
+            route is not None and route.is_public
+        ):
             return None
-        customer = held.customer_of(head.key) if head.key else None
+        customer = in_force.customer_of(head.key) if head.key else None
         if customer is None:
             return replies.Refusal(401, "no such key")
         return customer
 
     def _serve_job_call(
         self,
-        held: configuration.InForce,
+        in_force: configuration.InForce,
         head: dialect_lib.CallerHead,
         job_call: dialect_lib.JobCall,
     ) -> httpd.Response:
-        customer = self._customer(held, head, None)
+        customer = self._authenticate(in_force, head, None)
         if isinstance(customer, replies.Refusal):
             return replies.refusal(customer)
         name = "" if customer is None else customer.name
         call = calls.Call(head.attempt, time.monotonic(), None)
-        self._open.add(call)
+        self._open_calls.add(call)
         try:
             return self._jobs.call(job_call, name)
         finally:
-            self._open.remove(call)
+            self._open_calls.remove(call)
 
     def _serve_route(
         self,
         request: httpd.Request,
-        held: configuration.InForce,
+        in_force: configuration.InForce,
         head: dialect_lib.CallerHead,
         route: records.Route,
         customer: records.Customer | None,
     ) -> httpd.Response:
-        begun_s = time.monotonic()
-        caller_end_s = None
-        end_s = begun_s + (route.timeout_s or _DEFAULT_DEADLINE_S)
+        started_s = time.monotonic()
+        caller_deadline_s = None
+        due_s = started_s + (route.timeout_s or _DEFAULT_DEADLINE_S)
         if head.deadline_s is not None:
-            caller_end_s = begun_s + head.deadline_s
-            end_s = min(end_s, caller_end_s)
-        call = calls.Call(head.attempt, end_s, caller_end_s)
-        self._open.add(call)
+            caller_deadline_s = started_s + head.deadline_s
+            due_s = min(due_s, caller_deadline_s)
+        call = calls.Call(head.attempt, due_s, caller_deadline_s)
+        self._open_calls.add(call)
         try:
-            response = self._answer(request, held, head, route, customer, call)
+            response = self._read_body_and_dispatch(
+                request, in_force, head, route, customer, call
+            )
         except BaseException:
-            self._open.remove(call)
+            self._open_calls.remove(call)
             raise
         return response
 
-    def _answer(
+    def _read_body_and_dispatch(
         self,
         request: httpd.Request,
-        held: configuration.InForce,
+        in_force: configuration.InForce,
         head: dialect_lib.CallerHead,
         route: records.Route,
         customer: records.Customer | None,
         call: calls.Call,
     ) -> httpd.Response:
-        read = bodies.read_whole(
-            request, held.configuration.bounds.max_body_bytes
+        body = bodies.read_whole(
+            request, in_force.configuration.bounds.max_body_bytes
         )
         name = "" if customer is None else customer.name
-        if isinstance(read, result.Err):
-            refused = read.err_value
+        if isinstance(body, result.Err):
+            refused = body.err_value
             response = replies.refusal(
                 replies.Refusal(refused.status, refused.message)
             )
         elif route.kind == "batch":
             response = self._jobs.submit(
-                head.attempt, name, route, request.path, read.ok_value
+                head.attempt, name, route, request.path, body.ok_value
             )
         else:
             outgoing = sending.Outgoing(
@@ -283,14 +300,16 @@
                 request.method,
                 request.target or request.path,
                 request.headers,
-                read.ok_value,
+                body.ok_value,
                 name,
             )
-            return self._forward(request, head, route, customer, call, outgoing)
-        self._open.remove(call)
+            return self._forward_online(
+                request, head, route, customer, call, outgoing
+            )
+        self._open_calls.remove(call)
         return response
 
-    def _forward(
+    def _forward_online(
         self,
         request: httpd.Request,
         head: dialect_lib.CallerHead,
@@ -300,30 +319,32 @@
         outgoing: sending.Outgoing,
     ) -> httpd.Response:
         if not head.attempt:
-            self._open.remove(call)
-            return replies.refusal(replies.Refusal(400, "it has no id"))
-        forget_deadline = self._deadlines.add(
-            call.end_s, lambda: call.end("timeout")
+            self._open_calls.remove(call)
+            return replies.refusal(
+                replies.Refusal(400, "the request has no attempt id")
+            )
+        cancel_deadline = self._deadlines.add(
+            call.due_s, lambda: call.end("timeout")
         )
-        forget_caller: Callable[[], None] = _nothing
+        stop_watching_caller: Callable[[], None] = _no_op
         if request.connection is not None:
-            forget_caller = self._departures.watch(
+            stop_watching_caller = self._departures.watch(
                 request.connection, lambda: call.end("caller_left")
             )
 
         def close() -> None:
-            forget_deadline()
-            forget_caller()
-            self._open.remove(call)
-            self._note_end(call, route, outgoing.customer, response.status)
+            cancel_deadline()
+            stop_watching_caller()
+            self._open_calls.remove(call)
+            self._record_end(call, route, outgoing.customer, response.status)
 
         try:
             response = self._admit_and_forward(
                 route, customer, call, head, outgoing
             )
         except BaseException:
-            forget_deadline()
-            forget_caller()
+            cancel_deadline()
+            stop_watching_caller()
             raise
         return response._replace(body=caller_calls.Body(response.body, close))
 
@@ -342,7 +363,7 @@
                 request=call.attempt,
                 service=service,
                 why="no upstream",
-                list_age_s=round(self._list.age_s(), 3),
+                list_age_s=round(self._upstream_list.age_s(), 3),
             )
             return replies.refusal(_NO_UPSTREAM)
         if customer is not None:
@@ -360,12 +381,12 @@
                         429, "over the customer's rate", denied.retry_after_s
                     )
                 )
-        request = forwarding.Forwarded(
+        request = forwarding.OnlineRequest(
             outgoing, route, service, head.last_event
         )
         return self._forwarder.forward(request, call)
 
-    def _note_end(
+    def _record_end(
         self, call: calls.Call, route: records.Route, customer: str, status: int
     ) -> None:
         fields = {
@@ -376,27 +397,29 @@
             "sends": call.sends,
             "took_s": round(call.age_s(), 3),
         }
-        outcome = call.reason or ("ok" if status < _FAILED else "refused")
+        outcome = call.reason or (
+            "ok" if status < _FIRST_ERROR_STATUS else "refused"
+        )
         self._metrics.ended(route.kind, outcome, call.age_s())
         if call.reason:
             _events.warning(
                 "ended",
                 why=call.reason,
-                allowed_s=round(call.end_s - call.begun_s, 3),
-                caller_allowed_s=round(call.caller_allowed_s(), 3),
+                allowed_s=round(call.due_s - call.started_s, 3),
+                caller_allowed_s=round(call.caller_timeout_s(), 3),
                 **fields,
             )
             return
         _events.good_end("answered", **fields)
 
 
-def _nothing() -> None:
-    """Stands for a watch that was never set up."""
+def _no_op() -> None:
+    """Does nothing; used when there is no connection to watch."""
 
 
 _BUSY = replies.Refusal(503, "this VM has no room now", 0.5)
-_INTERNAL = replies.Refusal(500, "this VM failed to serve the request")
+_INTERNAL_ERROR = replies.Refusal(500, "this VM failed to serve the request")
 _NO_CONFIGURATION = replies.Refusal(
-    503, "this VM knows no configuration yet", _NOT_READY_RETRY_S
+    503, "this VM has no configuration yet", _NOT_READY_RETRY_S
 )
 _NO_UPSTREAM = replies.Refusal(503, "no upstream is listed", 0.5)
--- a/packages/gateway/gateway/replies.py
+++ b/packages/gateway/gateway/replies.py
@@ -1,21 +1,23 @@
-"""The answers that this system gives itself."""
+"""Responses that this system generates itself."""
 
 from typing import NamedTuple
 
 from bulrushdeal import httpd
 
-# Callers in their hundreds come back within this of one another.
-MIN_RETRY_S = 0.05
+# A shorter `Retry-After` is raised to this: hundreds of refused callers retry
+# within this time of one another.
+_MIN_RETRY_AFTER_S = 0.05
 
 
 class Refusal(NamedTuple):
-    """A final answer of this system.
+    """A final error answer by this system.
 
     Attributes:
-        status: The HTTP status. 429 and 503 promise that the request did
-            not run and never will; 502 and 504 promise nothing.
-        why: For the caller and the log.
-        retry_after_s: When to come back; 0 if that does not help.
+        status: The HTTP status. 429 and 503 guarantee that the request did
+            not run and never will; 502 and 504 guarantee nothing.
+        why: The reason, for the caller and the log.
+        retry_after_s: The seconds after which to retry; 0 if a retry does not
+            help.
     """
 
     status: int
@@ -24,16 +26,16 @@
 
 
 def refusal(row: Refusal) -> httpd.Response:
-    """Returns the answer that a refusal makes."""
+    """Returns the HTTP response for a refusal."""
     headers: tuple[tuple[str, str], ...] = ()
     if row.retry_after_s > 0:
-        after_s = max(row.retry_after_s, MIN_RETRY_S)
-        headers = (("Retry-After", f"{after_s:.3f}"),)
+        retry_after_s = max(row.retry_after_s, _MIN_RETRY_AFTER_S)
+        headers = (("Retry-After", f"{retry_after_s:.3f}"),)
     return httpd.json_response(row.status, {"error": row.why}, headers)
 
 
 def whole(status: int, content_type: str, body: bytes) -> httpd.Response:
-    """Returns an answer with a body of this system's own."""
+    """Returns a response with the given body."""
     headers = (
         ("Content-Type", content_type),
         ("Content-Length", str(len(body))),
--- a/packages/gateway/gateway/sending.py
+++ b/packages/gateway/gateway/sending.py
@@ -1,4 +1,4 @@
-"""Sends one request to one upstream and judges what comes back."""
+"""Sends one request to one upstream and checks its answer."""
 
 from collections.abc import Callable, Mapping
 import http
@@ -17,9 +17,9 @@
 from gateway.decisions import slotledger
 
 FailureKind = Literal["rejected", "unreachable", "broken", "silent", "ended"]
-_SERVER_ERROR = 500
-# Statuses that promise that a request did not run.
-_PROMISES = frozenset(
+_FIRST_SERVER_ERROR = 500
+# A caller takes these statuses to mean that its request did not run.
+_NOT_EXECUTED_STATUSES = frozenset(
     {
         http.HTTPStatus.REQUEST_TIMEOUT,
         http.HTTPStatus.MISDIRECTED_REQUEST,
@@ -30,15 +30,16 @@
 
 
 class Outgoing(NamedTuple):
-    """A request as it goes to any upstream.
+    """A request to send, independent of the upstream.
 
     Attributes:
-        attempt: Names it; an answer that names another is not its own.
-        method: In capitals.
-        target: Path and query as they came.
-        headers: The caller's, names in lower case.
+        attempt: The attempt id; an answer with another id belongs to another
+            request.
+        method: The HTTP method in capitals.
+        target: The path and query as received.
+        headers: The caller's headers, with names in lower case.
         body: The whole body.
-        customer: Whom it runs for; empty for nobody.
+        customer: The customer that the request runs for; empty if none.
     """
 
     attempt: str
@@ -50,28 +51,32 @@
 
 
 class Failure(NamedTuple):
-    """A send that brought no answer for the caller.
+    """A send that produced no answer to pass on to the caller.
 
     Attributes:
-        kind: How it failed; `ended` is our own end.
-        has_run: Whether the request may have run.
-        why: For the log.
+        kind: `rejected`: the upstream did not run the request.
+            `unreachable`: the upstream could not be reached. `broken`: the
+            connection broke or the answer is unusable. `silent`: the
+            upstream sent nothing within the allowed silence. `ended`: this
+            VM cancelled the send.
+        may_have_run: Whether the request may have run.
+        why: The reason for the log.
     """
 
     kind: FailureKind
-    has_run: bool
+    may_have_run: bool
     why: str
 
 
-class Opened(NamedTuple):
-    """An answer whose head is sound."""
+class OpenAnswer(NamedTuple):
+    """An answer whose head was read and accepted; the body is still open."""
 
     answer: services.UpstreamAnswer
     head: dialect_lib.AnswerHead
 
 
 class Sender:
-    """Sends a request once; what may be repeated is decided elsewhere."""
+    """Sends a request once; the callers of this class decide on retries."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._dialect = kernel.find(names.DIALECT, dialect_lib.Dialect)
@@ -87,17 +92,25 @@
         silence_s: float,
         last_event: int | None,
         on_open: Callable[[Callable[[], None]], None],
-    ) -> result.Result[Opened, Failure]:
+    ) -> result.Result[OpenAnswer, Failure]:
         """Sends a request and reads the head of the answer.
 
+        Sets the slot's outcome, unless this VM cancelled the send.
+
         Args:
             outgoing: The request.
-            slot: Where to; it is told what comes of it.
-            left_s: The deadline that the upstream is told; negative for
-                none.
-            silence_s: The longest silence, before the head and after.
-            last_event: Where a stream goes on; `None` from the start.
-            on_open: Is handed what cancels the send, from any thread.
+            slot: The slot on the upstream to send to.
+            left_s: The deadline in seconds to state to the upstream; negative
+                for none.
+            silence_s: The longest time in seconds without a byte, before and
+                after the head.
+            last_event: The id of the event after which to resume a stream;
+                `None` to start from the beginning.
+            on_open: Called with a function that cancels the send and may be
+                called from any thread.
+
+        Returns:
+            The open answer, or why the send failed.
         """
         upstream = slot.upstream
         headers = self._dialect.upstream_headers(
@@ -107,7 +120,7 @@
             customer=outgoing.customer,
             last_event=last_event,
         )
-        row = core_records.Upstream(
+        target = core_records.Upstream(
             upstream.instance,
             "plain",
             upstream.address,
@@ -115,7 +128,7 @@
             upstream.failure_domain,
         )
         sent = self._upstreams.send(
-            row,
+            target,
             outgoing.method,
             outgoing.target,
             headers,
@@ -124,36 +137,41 @@
             on_open=on_open,
         )
         if isinstance(sent, result.Err):
-            return result.Err(self.failure(slot, sent.err_value))
-        judged = self._judge(outgoing, upstream, sent.ok_value)
-        slot.outcome = _outcome(judged)
-        return judged
+            return result.Err(self.record_failure(slot, sent.err_value))
+        checked = self._check_answer(outgoing, upstream, sent.ok_value)
+        slot.outcome = _outcome(checked)
+        return checked
 
-    def failure(
+    def record_failure(
         self, slot: heldslots.Slot, error: services.UpstreamError
     ) -> Failure:
-        """Notes an upstream's failure and returns what it means."""
-        upstream, has_run = slot.upstream, error.ran != "not_run"
+        """Records an upstream's failure and classifies it.
+
+        Sets the slot's outcome to `failed`, unless this VM cancelled the
+        send, and marks an unreachable upstream as failed in health.
+        """
+        upstream, may_have_run = slot.upstream, error.ran != "not_run"
         if error.kind == "cancelled":
-            return Failure("ended", has_run, error.message)
+            return Failure("ended", may_have_run, error.message)
         slot.outcome = "failed"
         if error.kind == "unreachable":
             self._placement.health.failed(upstream.instance, error.message)
-            return Failure("unreachable", has_run, error.message)
+            return Failure("unreachable", may_have_run, error.message)
         if error.kind == "timeout":
-            return Failure("silent", has_run, error.message)
-        return Failure("broken", has_run, error.message)
+            return Failure("silent", may_have_run, error.message)
+        return Failure("broken", may_have_run, error.message)
 
-    def _judge(
+    def _check_answer(
         self,
         outgoing: Outgoing,
         upstream: records.Upstream,
         answer: services.UpstreamAnswer,
-    ) -> result.Result[Opened, Failure]:
+    ) -> result.Result[OpenAnswer, Failure]:
         head = self._dialect.answer_head(answer.status, answer.headers)
         if head.attempt and head.attempt != outgoing.attempt:
-            # A second answer to an earlier request on this connection; the
-            # own one may come after it and must not meet the next request.
+            # This is a second answer to an earlier request on the connection.
+            # The answer to this request may follow, so the connection is
+            # dropped: the next request must not receive that answer.
             answer.cancel()
             answer.close()
             return _broken("the answer belongs to another request")
@@ -161,33 +179,36 @@
             why = f"status {answer.status}, not run"
             if head.is_other:
                 self._placement.health.failed(upstream.instance, why)
-            _drain(answer)
+            _read_to_end(answer)
             return result.Err(Failure("rejected", False, why))
         self._placement.health.heard(upstream.instance)
         self._placement.health.worked(upstream.instance)
-        if answer.status in _PROMISES or not head.is_signed:
-            # Passed on, it would promise the caller what nobody promised,
-            # or be taken for the upstream's word.
+        if answer.status in _NOT_EXECUTED_STATUSES or not head.is_signed:
+            # The answer is not relayed. Its status may read as a guarantee
+            # that the request did not run, which the upstream did not give, or
+            # an unsigned answer may pass for one by the upstream.
             answer.cancel()
             answer.close()
-            return _broken(f"status {answer.status} without a promise")
-        return result.Ok(Opened(answer, head))
+            return _broken(
+                f"status {answer.status}: no signature or no not-run header"
+            )
+        return result.Ok(OpenAnswer(answer, head))
 
 
-def _outcome(judged: result.Result[Opened, Failure]) -> slotledger.Outcome:
-    if isinstance(judged, result.Ok):
-        status = judged.ok_value.answer.status
-        return "failed" if status >= _SERVER_ERROR else "ok"
-    # One that is full has not failed.
-    return "unknown" if judged.err_value.kind == "rejected" else "failed"
+def _outcome(checked: result.Result[OpenAnswer, Failure]) -> slotledger.Outcome:
+    if isinstance(checked, result.Ok):
+        status = checked.ok_value.answer.status
+        return "failed" if status >= _FIRST_SERVER_ERROR else "ok"
+    # An upstream that rejects requests because it is full has not failed.
+    return "unknown" if checked.err_value.kind == "rejected" else "failed"
 
 
 def _broken(why: str) -> result.Err[Failure]:
     return result.Err(Failure("broken", True, why))
 
 
-def _drain(answer: services.UpstreamAnswer) -> None:
-    """Reads a short answer to its end, so that the connection is kept."""
+def _read_to_end(answer: services.UpstreamAnswer) -> None:
+    """Reads a short answer to its end, so that the connection is reusable."""
     for piece in answer.chunks():
         if piece.is_err():
             break
--- a/tests/gateway/test_eventstream.py
+++ b/tests/gateway/test_eventstream.py
@@ -31,7 +31,7 @@
             numbers.append(event.number)
             assert event.data == f"d{event.number}"
         if whole and numbers:
-            assert eventstream.last_number(whole) == numbers[-1]
+            assert eventstream.last_event_id(whole) == numbers[-1]
     assert numbers == list(range(1, 13))
     assert not splitter.has_part
 
@@ -46,7 +46,7 @@
 
 def test_an_endless_event_is_an_error() -> None:
     splitter = eventstream.Splitter()
-    with pytest.raises(eventstream.TooLongError):
+    with pytest.raises(eventstream.EventTooLongError):
         for _ in range(5):
             splitter.feed(b"x" * 1_000_000)
 
@@ -54,4 +54,4 @@
 def test_lines_of_data_are_joined() -> None:
     (event,) = eventstream.parse(b"versions: 2\nid: 7\ndata: a\ndata: b\n\n")
     assert event == eventstream.Event(7, "a\nb")
-    assert eventstream.last_number(b"data: x\n\n") is None
+    assert eventstream.last_event_id(b"data: x\n\n") is None
