--- a/tests/gateway/test_eventstream.py
+++ b/tests/gateway/test_eventstream.py
@@ -1,4 +1,4 @@
-"""Whole events, however their bytes come."""
+"""Splitting and parsing of server-sent events."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 @hypothesis.given(
     st.lists(st.integers(1, 40), min_size=1), st.sampled_from([b"\n", b"\r\n"])
 )
-def test_events_come_whole_in_whatever_pieces(
+def test_events_are_complete_however_the_stream_is_split(
     sizes: list[int], end: bytes
 ) -> None:
     data, at = _stream(12, end), 0
@@ -36,7 +36,7 @@
     assert not splitter.has_part
 
 
-def test_a_part_is_held_back() -> None:
+def test_an_incomplete_event_is_buffered() -> None:
     splitter = eventstream.Splitter()
     assert (
         splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
@@ -44,14 +44,14 @@
     assert splitter.has_part
 
 
-def test_an_endless_event_is_an_error() -> None:
+def test_an_event_without_end_is_an_error() -> None:
     splitter = eventstream.Splitter()
     with pytest.raises(eventstream.EventTooLongError):
         for _ in range(5):
             splitter.feed(b"x" * 1_000_000)
 
 
-def test_lines_of_data_are_joined() -> None:
+def test_data_lines_are_joined() -> None:
     (event,) = eventstream.parse(b"versions: 2\nid: 7\ndata: a\ndata: b\n\n")
     assert event == eventstream.Event(7, "a\nb")
     assert eventstream.last_event_id(b"data: x\n\n") is None
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Online requests over a whole gateway, and upstreams that fail."""
+"""Online requests through a complete gateway with failing upstreams."""
 
 import threading
 import time
@@ -16,18 +16,20 @@
 Fault = gatewayengine.Fault
 
 
-def _numbers(body: bytes) -> list[int]:
+def _event_ids(body: bytes) -> list[int]:
     lines = body.decode().splitlines()
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
-def test_a_stream_comes_whole_and_signed(scene: gatewayscene.Scene) -> None:
+def test_a_stream_is_relayed_complete_and_signed(
+    scene: gatewayscene.Scene,
+) -> None:
     engine = scene.add_engine()
     answer = scene.add_vm().call("POST", "/s/once/x?q=1", b"prompt")
     assert answer.status == 200
     assert answer.is_whole
     assert answer.headers["bulrushdeal-server-stamp"] == "signed"
-    assert _numbers(answer.body) == [1, 2, 3, 4, 5]
+    assert _event_ids(answer.body) == [1, 2, 3, 4, 5]
     (run,) = engine.runs
     assert (run.path, run.body) == ("/s/once/x?q=1", b"prompt")
     assert run.headers["bulrushdeal-tenant"] == "school"
@@ -36,13 +38,13 @@
 
 
 @pytest.mark.parametrize("kind", ["cut", "part"])
-def test_a_resumable_stream_goes_on_at_another_upstream(
+def test_a_resumable_stream_continues_at_another_upstream(
     scene: gatewayscene.Scene, kind: str
 ) -> None:
-    """An engine dies in the middle of a reply, perhaps inside an event.
+    """An engine dies in the middle of a reply, possibly inside an event.
 
-    The caller sees one stream without a gap or a second piece: what had come
-    whole is kept, and the other engine is asked for the rest.
+    The caller must get one stream without missing or repeated events: complete
+    events are kept, and the other engine is asked for the rest.
     """
     engines = [scene.add_engine(), scene.add_engine()]
     for engine in engines:
@@ -53,75 +55,81 @@
     for attempt in ("a1", "a2", "a3", "a4"):
         answer = vm.call("POST", "/s/x", b"p", attempt=attempt)
         assert answer.is_whole
-        assert _numbers(answer.body) == [1, 2, 3, 4, 5]
+        assert _event_ids(answer.body) == [1, 2, 3, 4, 5]
         if len(engines[0].runs) and not engines[0].faults:
             break
         engines[0].faults = [Fault(kind, 2)]
     assert [run.last_event for run in engines[1].runs][-1] in (0, 2)
 
 
-def test_a_stream_goes_on_elsewhere_before_its_pause_is_too_long(
+def test_a_stalled_stream_is_resumed_elsewhere_in_time(
     scene: gatewayscene.Scene,
 ) -> None:
-    """An engine is cut off or freezes after a few events."""
+    """An engine is cut off or freezes after a few events.
+
+    The stream must continue at another engine before the pause is too long.
+    """
     engines = [scene.add_engine(), scene.add_engine()]
     for engine in engines:
         engine.faults = [Fault("mute", 2)]
     vm = scene.add_vm()
     answer = vm.call("POST", "/s/x", b"p")
     assert answer.is_whole
-    assert _numbers(answer.body) == [1, 2, 3, 4, 5]
+    assert _event_ids(answer.body) == [1, 2, 3, 4, 5]
     assert sum(len(engine.runs) for engine in engines) == 2
 
 
-def test_a_stream_that_does_not_begin_is_begun_elsewhere_on_time(
+def test_a_stream_that_does_not_start_is_started_elsewhere_in_time(
     scene: gatewayscene.Scene,
 ) -> None:
-    """An engine is cut off and takes what is sent to it without an answer."""
+    """An engine is cut off and accepts requests without answering."""
     engines = [scene.add_engine(), scene.add_engine()]
     vm = scene.add_vm()
-    # By then it is known how soon streams begin.
+    # After this stream the VM has measured how soon streams begin.
     assert vm.call("POST", "/s/x", b"p").is_whole
     for engine in engines:
         engine.faults = [Fault("mute", 0)]
     answer = vm.call("POST", "/s/x", b"p")
     assert answer.is_whole
-    assert _numbers(answer.body) == [1, 2, 3, 4, 5]
+    assert _event_ids(answer.body) == [1, 2, 3, 4, 5]
     assert sum(len(engine.runs) for engine in engines) == 3
 
 
-def test_a_stream_that_waits_in_an_engine_is_left_there(
+def test_a_stream_queued_in_an_engine_is_not_moved(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Sent elsewhere in a burst, it would lose its place and add to it."""
+    """In a burst, a stream waits in an engine's queue for its first event.
+
+    Moved to another engine, it would lose its place and add to the load.
+    """
     engines = [scene.add_engine(), scene.add_engine()]
     for engine in engines:
         engine.faults = [Fault("mute", 0)]
     vm = scene.add_vm()
-    placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
-    take = placed.take
+    placer = vm.kernel.find(names.PLACEMENT, placement.Placement)
+    take = placer.take
 
-    def queued(*args: Any) -> Any:
+    def take_queued(*args: Any) -> Any:
         taken = take(*args)
         taken.unwrap().is_free = False
         return taken
 
-    monkeypatch.setattr(placed, "take", queued)
+    monkeypatch.setattr(placer, "take", take_queued)
     assert vm.call("POST", "/s/x", b"p").is_whole
     assert sum(len(engine.runs) for engine in engines) == 1
 
 
 @pytest.mark.parametrize("fault", [Fault("cut", 2), Fault("mute", 0)])
-def test_a_stream_that_ran_waits_for_its_next_slot(
+def test_a_stream_that_has_run_waits_for_its_next_slot(
     scene: gatewayscene.Scene, monkeypatch: pytest.MonkeyPatch, fault: Fault
 ) -> None:
-    """An engine dies while a burst of requests has the others full."""
+    """An engine dies while a burst of requests fills the others."""
     engines = [scene.add_engine(), scene.add_engine()]
     for engine in engines:
         engine.faults = [fault]
     vm = scene.add_vm()
-    placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
-    take, takes = placed.take, 0
+    placer = vm.kernel.find(names.PLACEMENT, placement.Placement)
+    take, takes = placer.take, 0
 
     def full_once(*args: Any) -> Any:
         nonlocal takes
@@ -132,31 +140,34 @@
             return result.Err(placement.NoSlot(0.5, "no free slot"))
         return take(*args)
 
-    monkeypatch.setattr(placed, "take", full_once)
+    monkeypatch.setattr(placer, "take", full_once)
     answer = vm.call("POST", "/s/x", b"p")
     assert answer.is_whole
-    assert _numbers(answer.body) == [1, 2, 3, 4, 5]
+    assert _event_ids(answer.body) == [1, 2, 3, 4, 5]
 
 
-def test_a_stream_that_may_not_be_resumed_runs_once_and_looks_cut(
+def test_a_broken_stream_that_is_not_resumable_runs_once_and_is_cut(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The same for a stream of which a second run would be a second reply."""
+    """An engine dies in the middle of a stream that must not run twice.
+
+    A second run would produce a different reply.
+    """
     engines = [scene.add_engine(), scene.add_engine()]
     for engine in engines:
         engine.faults = [Fault("cut", 2)]
     answer = scene.add_vm().call("POST", "/s/once/x", b"p")
     assert not answer.is_whole
-    assert _numbers(answer.body) == [1, 2]
+    assert _event_ids(answer.body) == [1, 2]
     assert sum(len(engine.runs) for engine in engines) == 1
 
 
-def test_a_non_idempotent_request_whose_answer_is_lost_gets_no_promise(
+def test_an_unsafe_request_whose_answer_is_lost_gets_502(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A booking ran, and its answer went to nobody.
+    """A booking ran, but its answer was lost.
 
-    503 would say that it did not run, and the caller would book twice.
+    A 503 would say that it did not run, and the caller would book twice.
     """
     engines = [scene.add_engine(), scene.add_engine()]
     for engine in engines:
@@ -170,7 +181,7 @@
 def test_a_safe_request_is_repeated_elsewhere(
     scene: gatewayscene.Scene, kind: str
 ) -> None:
-    """An upstream answers for another request, unsigned, or with its failure.
+    """An upstream answers another request, without a signature, or with 500.
 
     None of these may reach the caller while another upstream can answer.
     """
@@ -185,7 +196,9 @@
     assert not engines[0].faults
 
 
-def test_a_busy_upstream_is_no_try(scene: gatewayscene.Scene) -> None:
+def test_a_busy_upstream_does_not_use_up_an_attempt(
+    scene: gatewayscene.Scene,
+) -> None:
     engines = [scene.add_engine(), scene.add_engine()]
     engines[0].faults = [Fault("busy")] * 4
     vm = scene.add_vm()
@@ -194,7 +207,7 @@
         assert answer.status == 200
 
 
-def test_all_busy_is_a_promise_with_when_to_come_back(
+def test_all_upstreams_busy_gets_503_with_retry_after(
     scene: gatewayscene.Scene,
 ) -> None:
     engine = scene.add_engine()
@@ -205,13 +218,13 @@
     assert engine.runs == []
 
 
-def test_an_address_of_another_instance_runs_nothing(
+def test_another_instance_at_the_address_runs_nothing(
     scene: gatewayscene.Scene,
 ) -> None:
-    """An upstream is gone and a stranger has its address.
+    """An upstream is gone and another instance has its address.
 
-    The request names whom it is for; the stranger refuses, and the caller is
-    told that it did not run.
+    The request names the instance it is meant for. The other instance refuses
+    it, and the caller gets a 503, which says that the request did not run.
     """
     engine = scene.add_engine()
     engine.instance = "i-stranger"
@@ -220,8 +233,10 @@
     assert engine.runs == []
 
 
-def test_a_route_has_its_timeout(scene: gatewayscene.Scene) -> None:
-    """An upstream is silent for longer than the route allows."""
+def test_the_route_timeout_ends_a_slow_stream(
+    scene: gatewayscene.Scene,
+) -> None:
+    """An upstream keeps sending events for longer than the route allows."""
     value = gatewayscene.configuration()
     for row in value["routes"]:
         row["timeout_ms"] = 300
@@ -250,7 +265,7 @@
     gatewayscene.until(lambda: engine.open == 0)
 
 
-def test_bad_callers_get_their_answer(scene: gatewayscene.Scene) -> None:
+def test_invalid_requests_get_4xx(scene: gatewayscene.Scene) -> None:
     value = gatewayscene.configuration(2)
     value["limits"]["max_body_bytes"] = 1000
     scene.configure(value)
@@ -264,7 +279,7 @@
     assert vm.call("POST", "/safe/x", b"x" * 1001).status == 413
 
 
-def test_without_upstreams_the_refusal_comes_at_once(
+def test_without_upstreams_requests_are_refused_at_once(
     scene: gatewayscene.Scene,
 ) -> None:
     begun_s = time.monotonic()
@@ -274,7 +289,7 @@
     assert time.monotonic() - begun_s < 2
 
 
-def test_a_leaving_upstream_gets_nothing_new(
+def test_a_draining_upstream_gets_no_new_requests(
     scene: gatewayscene.Scene,
 ) -> None:
     engines = [scene.add_engine(), scene.add_engine()]
@@ -287,15 +302,17 @@
     assert len(engines[1].runs) == 5
 
 
-def test_a_bad_entry_harms_no_other(scene: gatewayscene.Scene) -> None:
+def test_a_malformed_upstream_entry_does_not_affect_others(
+    scene: gatewayscene.Scene,
+) -> None:
     scene.add_engine()
     scene.store.write("servers/i-bad", b"\xff{")
     scene.store.write("servers/i-odd", b'{"service":"llm","state":"new"}')
     assert scene.add_vm().call("POST", "/safe/x", b"p").status == 200
 
 
-def test_a_stop_lets_what_runs_end(scene: gatewayscene.Scene) -> None:
-    """A VM is replaced as planned while a reply is on its way."""
+def test_a_stop_lets_running_requests_finish(scene: gatewayscene.Scene) -> None:
+    """A VM is stopped for a replacement while it relays a reply."""
     engine = scene.add_engine(events=10)
     engine.pause_s = 0.05
     vm = scene.add_vm()
@@ -304,17 +321,17 @@
     response = connection.getresponse()
     scene.vms.remove(vm)
     vm.kernel.stop(4.0)
-    assert _numbers(response.read()) == list(range(1, 11))
+    assert _event_ids(response.read()) == list(range(1, 11))
     connection.close()
 
 
-def test_idle_connections_are_closed_while_the_grace_lasts(
+def test_idle_connections_are_closed_during_the_grace_period(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A VM is replaced; a caller has kept a connection that was idle.
+    """A VM is stopped while a caller keeps an idle connection.
 
-    Were it open to the end of the grace, a request sent late over it would
-    be cut by the end of the process, after it had been taken.
+    If the connection stayed open until the end of the grace period, a request
+    sent on it late would be accepted and then cut off by the process exit.
     """
     engine = scene.add_engine(events=400)
     engine.pause_s = 0.05
@@ -335,7 +352,7 @@
     idle.close()
 
 
-def test_a_header_beyond_the_operators_bound_is_refused(
+def test_a_header_over_the_configured_limit_is_refused(
     scene: gatewayscene.Scene,
 ) -> None:
     value = gatewayscene.configuration(2)
@@ -350,13 +367,13 @@
     assert vm.call("POST", "/safe/x", headers=short).status == 200
 
 
-def test_a_connection_may_rest_as_long_as_either_of_two_versions_says(
+def test_the_longer_idle_timeout_of_two_versions_applies(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A new version lets connections rest for half a second.
+    """A new configuration shortens the idle timeout to half a second.
 
-    Callers that go by the one before send on a connection that rested for
-    longer, and lose a request that may not be repeated.
+    Callers that still use the previous value send on a connection that was
+    idle for longer, and would lose a request that must not be repeated.
     """
     scene.add_engine()
     vm = scene.add_vm()
@@ -382,22 +399,22 @@
     return 0 if held is None else held.version
 
 
-def test_the_log_tells_what_decided_a_refusal_and_an_end(
+def test_the_log_explains_a_refusal_and_a_timeout(
     scene: gatewayscene.Scene, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A user complains of a refusal and of an answer that never came.
+    """A user reports a refusal and an answer that never arrived.
 
-    Without the engines' load and whose deadline it was, the two lines are as
-    good as those of any other request.
+    The log lines must state the engines' occupancy and which deadline expired,
+    or they do not explain the two outcomes.
     """
     scene.add_engine(events=1000).pause_s = 0.05
     vm = scene.add_vm()
-    placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
+    placer = vm.kernel.find(names.PLACEMENT, placement.Placement)
     with caplog.at_level("INFO", "bulrushdeal.events"):
         short = {"Bulrushdeal-Deadline-Ms": "300"}
         vm.call("POST", "/s/once/x", b"p", headers=short)
         gatewayscene.until(lambda: _line(caplog, "ended") != {})
-        while placed.take("llm", 0.3, ()).is_ok():
+        while placer.take("llm", 0.3, ()).is_ok():
             continue
         assert vm.call("POST", "/s/once/x", b"p", "a2").status == 503
     ended, refused = _line(caplog, "ended"), _line(caplog, "refused")
