--- a/packages/gateway/gateway/assembly.py
+++ b/packages/gateway/gateway/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the gateway's services together, and runs them to a graceful stop."""
+"""Assembles the gateway's services and runs them until a graceful stop."""
 
 import signal
 import sys
@@ -35,13 +35,14 @@
 from gateway import upstreamlist
 
 _events = eventlog.Events("process")
-# What the process keeps of the grace for its own end.
-_MARGIN_S = 0.6
-# A connection to a peer takes a thread at both ends; most that are used at all
-# are used each second.
-_IDLE_S = 10.0
-# How often the calls made so far are told.
-_COUNTS_S = 10.0
+# The part of the grace time that is left for the process to exit after its
+# services have stopped.
+_EXIT_MARGIN_S = 0.6
+# A connection to a peer takes a thread at both ends, so unused ones are closed.
+# Most connections that are in use carry a call each second.
+_PEER_IDLE_S = 10.0
+# How often the counts of store calls are logged.
+_COUNTS_INTERVAL_S = 10.0
 
 
 def assemble(
@@ -49,18 +50,18 @@
     dialect: dialect_lib.Dialect,
     store: dialect_lib.Store,
 ) -> kernel_lib.Kernel:
-    """Returns a kernel with all services, in the order of dependencies."""
+    """Returns a kernel with all services, registered in dependency order."""
     kernel = kernel_lib.Kernel()
     add = kernel.register
     kernel.offer(names.DIALECT, dialect)
-    path = storepath.StorePath(kernel, store)
-    kernel.offer(names.STORE, path)
+    store_path = storepath.StorePath(kernel, store)
+    kernel.offer(names.STORE, store_path)
     add(names.CONFIGURATION, configuration.Feed(kernel))
     add(names.UPSTREAM_LIST, upstreamlist.UpstreamList(kernel))
     add(names.METRICS, metrics.Metrics(kernel, settings))
     add(services.MEMBERSHIP, members.Members(kernel, settings))
-    add(services.PEERS, peers.WebsocketPeers(kernel, settings, _IDLE_S))
-    add("store path", path)
+    add(services.PEERS, peers.WebsocketPeers(kernel, settings, _PEER_IDLE_S))
+    add("store path", store_path)
     add(names.PINGS, pings.Pings(kernel))
     add(names.JOB_BOOK, jobbook.JobBook(kernel))
     add(names.JOB_LISTING, joblisting.JobListing(kernel))
@@ -73,7 +74,8 @@
     add("retirements", retirements.Retirements(kernel))
     add(names.FORWARDER, forwarding.Forwarder(kernel))
     add(names.FRONT, front.Front(kernel, settings))
-    # Last, so that it stops first: its jobs go on elsewhere at once.
+    # Registered last and therefore stopped first, so that other VMs continue
+    # its jobs at once.
     add("runner", runner.Runner(kernel, settings))
     return kernel
 
@@ -83,22 +85,22 @@
     dialect: dialect_lib.Dialect,
     store: dialect_lib.Store,
 ) -> int:
-    """Runs until a signal asks the process to stop; returns its status."""
+    """Runs the gateway until SIGTERM or SIGINT; returns the exit status."""
     logs.configure("warning")
     writer = eventlog.configure(settings.vm, sys.stdout)
     stopping = threading.Event()
 
-    def on_stop(number: int, frame: Any) -> None:
+    def handle_stop(number: int, frame: Any) -> None:
         del number, frame
         stopping.set()
 
-    def on_reload(number: int, frame: Any) -> None:
+    def handle_reload(number: int, frame: Any) -> None:
         del number, frame
-        _events.info("reload", why="nothing here changes while it runs")
+        _events.info("reload", why="settings are read only at start")
 
-    signal.signal(signal.SIGTERM, on_stop)
-    signal.signal(signal.SIGINT, on_stop)
-    signal.signal(signal.SIGHUP, on_reload)
+    signal.signal(signal.SIGTERM, handle_stop)
+    signal.signal(signal.SIGINT, handle_stop)
+    signal.signal(signal.SIGHUP, handle_reload)
     kernel = assemble(settings, dialect, store)
     try:
         kernel.start()
@@ -107,11 +109,11 @@
         return 1
     memory.keep_started_objects()
     _events.info("started", failure_domain=settings.failure_domain)
-    while not stopping.wait(_COUNTS_S):
+    while not stopping.wait(_COUNTS_INTERVAL_S):
         calls = [tuple(row) for row in store.counts()]
         _events.info("counts", store_calls=calls)
     _events.info("stopping", grace_s=settings.grace_s)
-    kernel.stop(max(settings.grace_s - _MARGIN_S, 0.5))
+    kernel.stop(max(settings.grace_s - _EXIT_MARGIN_S, 0.5))
     _events.info("stopped")
     writer.stop()
     return 0
--- a/packages/gateway/gateway/dialect.py
+++ b/packages/gateway/gateway/dialect.py
@@ -1,7 +1,7 @@
-"""What an adapter offers: a platform's names, formats and calls.
+"""The interface of a platform adapter: its names, formats and store calls.
 
-An adapter translates and decides nothing: it neither repeats a call nor
-waits, and it takes no choice between upstreams.
+An adapter only translates. It does not retry a call, wait, or choose between
+upstreams.
 """
 
 from collections.abc import Mapping
@@ -13,15 +13,16 @@
 
 
 class StoreError(NamedTuple):
-    """A call to the platform's store that did not succeed.
+    """A failed call to the platform's store.
 
     Attributes:
-        kind: `refused`: the store takes no calls from here now; it surely
-            had no effect. `rejected`: the store does not accept such a
-            call; no effect either. `unknown`: it may have had, or may still
-            have. `gap`: the history asked for is gone. `no_lease`: the
-            lease has ended.
-        message: For the log.
+        kind: `refused`: the store takes no calls from this VM at present,
+            and the call had no effect. `rejected`: the store does not
+            accept this kind of call, and it had no effect. `unknown`: the
+            call may have had an effect or may still take effect. `gap`: the
+            store no longer has the requested history. `no_lease`: the lease
+            has ended.
+        message: The reason, for the log.
     """
 
     kind: Literal["refused", "rejected", "unknown", "gap", "no_lease"]
@@ -29,7 +30,14 @@
 
 
 class Entry(NamedTuple):
-    """One key of the store; `value` is `None` if it was deleted."""
+    """One key of the store.
+
+    Attributes:
+        key: The key.
+        value: Its value; `None` if the key was deleted.
+        revision: The store's revision at which the key last changed.
+        created: The revision at which the key was created; 0 if unknown.
+    """
 
     key: str
     value: bytes | None
@@ -38,7 +46,13 @@
 
 
 class Page(NamedTuple):
-    """A part of a listing, as of a revision of the store."""
+    """One page of a listing or of changes.
+
+    Attributes:
+        entries: The keys of this page, or the changes in order.
+        has_more: Whether further entries follow.
+        revision: The store's revision that the page reflects.
+    """
 
     entries: tuple[Entry, ...]
     has_more: bool
@@ -46,14 +60,14 @@
 
 
 class Expected(NamedTuple):
-    """A condition of a change: the key's revision, 0 if it is absent."""
+    """A condition of a commit: a key's revision, 0 if the key is absent."""
 
     key: str
     revision: int
 
 
 class Write(NamedTuple):
-    """One key to write, under a lease if that is not 0."""
+    """A key to write, bound to a lease unless `lease` is 0."""
 
     key: str
     value: bytes
@@ -61,20 +75,26 @@
 
 
 class Conflict(NamedTuple):
-    """A change that was not made: what its conditions' keys hold."""
+    """A commit whose conditions failed, with their keys' current entries."""
 
     entries: tuple[Entry, ...]
 
 
 class Lease(NamedTuple):
-    """A lease and how long it runs."""
+    """A lease: its id, and how long it runs from its grant."""
 
     lease: int
     ttl_s: float
 
 
 class CallCount(NamedTuple):
-    """How many calls of a kind ended in some way."""
+    """How many calls of a kind ended with an outcome.
+
+    Attributes:
+        call: The name of the `Store` method.
+        outcome: An HTTP status, or why there is none.
+        made: The number of calls.
+    """
 
     call: str
     outcome: str
@@ -82,22 +102,37 @@
 
 
 class Store(Protocol):
-    """The platform's store; each call is made once."""
+    """The platform's key-value store; no call is retried."""
 
     def get(
         self, key: str, timeout_s: float
     ) -> result.Result[Entry | None, StoreError]:
-        """Returns what a key holds."""
+        """Returns a key's entry; `None` if the key is absent."""
 
     def list(
         self, prefix: str, after: str, timeout_s: float, *, stale: bool = False
     ) -> result.Result[Page, StoreError]:
-        """Returns keys under `prefix` that follow `after`."""
+        """Returns the keys under a prefix, in order.
+
+        Args:
+            prefix: The prefix that the keys have.
+            after: Only keys greater than this one are returned; empty for
+                all.
+            timeout_s: How long the call may take.
+            stale: Whether the store may answer from an older state.
+        """
 
     def watch(
         self, prefix: str, after_revision: int, wait_s: float, timeout_s: float
     ) -> result.Result[Page, StoreError]:
-        """Waits for changes under `prefix` after a revision."""
+        """Waits for changes under a prefix.
+
+        Args:
+            prefix: The prefix that the changed keys have.
+            after_revision: Only changes after this revision are returned.
+            wait_s: How long the store waits for a change.
+            timeout_s: How long the call may take, the wait included.
+        """
 
     def commit(
         self,
@@ -106,7 +141,7 @@
         deletes: tuple[str, ...],
         timeout_s: float,
     ) -> result.Result[int | Conflict, StoreError]:
-        """Makes all changes if all conditions hold, else none.
+        """Applies all writes and deletes if all conditions hold, else none.
 
         Returns:
             The store's new revision, or the conflict.
@@ -115,7 +150,7 @@
     def grant(
         self, ttl_s: float, timeout_s: float
     ) -> result.Result[Lease, StoreError]:
-        """Makes a lease."""
+        """Creates a lease that runs for `ttl_s`."""
 
     def renew(
         self, lease: int, timeout_s: float
@@ -128,18 +163,18 @@
         """Ends a lease and removes its keys."""
 
     def counts(self) -> tuple[CallCount, ...]:
-        """Returns how many calls were made."""
+        """Returns how many calls were made, by kind and outcome."""
 
 
 class Prompt(NamedTuple):
-    """What a request says of its prompt and answer.
+    """A request's description of its prompt and answer.
 
     Attributes:
-        model: The model asked for.
-        input_tokens: The whole prompt.
-        output_tokens: The most that the answer may have.
-        parts: The prompt's parts in order; requests share those that have
-            the same name.
+        model: The requested model; empty if not given.
+        input_tokens: The length of the whole prompt.
+        output_tokens: The maximum length of the answer.
+        parts: The names of the prompt's parts in order; two requests whose
+            parts have the same name have these parts in common.
     """
 
     model: str
@@ -149,14 +184,15 @@
 
 
 class CallerHead(NamedTuple):
-    """What a caller's headers say.
+    """The decoded headers of a caller's request.
 
     Attributes:
-        attempt: Names this attempt of the caller; empty if it has no name.
-        key: The caller's key; empty if there is none.
-        deadline_s: How long the caller waits; `None` if it does not say.
-        prompt: What is asked of an engine.
-        last_event: Where to go on in a stream; `None` from the start.
+        attempt: The id of this attempt of the caller; empty if it has none.
+        key: The caller's API key; empty if there is none.
+        deadline_s: How long the caller waits; `None` if not given.
+        prompt: The description of the prompt; `None` if not given.
+        last_event: The number of the last event received, after which the
+            stream is to resume; `None` to start at the beginning.
     """
 
     attempt: str
@@ -167,7 +203,7 @@
 
 
 class Load(NamedTuple):
-    """What an upstream says of itself."""
+    """The load that an upstream reports, in requests."""
 
     running: int
     waiting: int
@@ -175,14 +211,15 @@
 
 
 class AnswerHead(NamedTuple):
-    """What an upstream's headers say.
+    """The decoded headers of an upstream's answer.
 
     Attributes:
-        attempt: The request it answers; empty if it does not say.
-        has_not_run: Whether the upstream promises that it did not run.
-        is_signed: Whether the upstream vouches for the answer.
-        is_other: Whether another instance has the address.
-        load: What it says of its load.
+        attempt: The id of the attempt that it answers; empty if not given.
+        has_not_run: Whether the upstream guarantees that it did not execute
+            the request.
+        is_signed: Whether the answer bears the upstream's own stamp.
+        is_other: Whether the address now belongs to another instance.
+        load: The upstream's load; `None` if not given or unreadable.
     """
 
     attempt: str
@@ -196,11 +233,11 @@
     """One request of a batch job.
 
     Attributes:
-        item: Its id.
-        path: Where it goes at an upstream.
-        headers: Its own.
-        body: Its own.
-        tokens: Of its prompt and, at most, its output.
+        item: The item's id.
+        path: The path of the request at an upstream.
+        headers: The headers that the caller set for this item.
+        body: The body of the request.
+        tokens: The tokens of its prompt plus the maximum of its output.
     """
 
     item: str
@@ -217,7 +254,10 @@
 
 
 class ItemResult(NamedTuple):
-    """How an item ended, at its position for good."""
+    """How an item ended.
+
+    The result's position in the job's results never changes.
+    """
 
     item: str
     is_completed: bool
@@ -225,7 +265,13 @@
 
 
 class JobPage(NamedTuple):
-    """A part of a batch job's results."""
+    """One page of a batch job's results.
+
+    Attributes:
+        total: How many items the job has.
+        next_position: The position after the last result of this page.
+        results: The results in the order of their positions.
+    """
 
     total: int
     next_position: int
@@ -233,14 +279,15 @@
 
 
 class JobCall(NamedTuple):
-    """A call about a batch job that was submitted.
+    """A call about a submitted batch job.
 
     Attributes:
-        kind: To read results, to read an item's input, or to end the job.
+        kind: `results` reads results, `input` reads an item's input and
+            `end` ends the job.
         job: The job's id.
-        item: The item whose input is asked for.
-        after: The first position asked for.
-        wait_s: How long the caller lets itself be kept waiting.
+        item: The id of the item whose input is read; otherwise empty.
+        after: The position of the first result to return.
+        wait_s: How long the caller is willing to wait for a result.
     """
 
     kind: Literal["results", "input", "end"]
@@ -251,17 +298,17 @@
 
 
 class BadInputError(Exception):
-    """What came is malformed; the message says what."""
+    """Malformed input; the message names the fault."""
 
 
 class Dialect(Protocol):
-    """How callers, upstreams and operators spell things."""
+    """The platform's encodings, for callers, upstreams and operators."""
 
     def caller_head(self, headers: Mapping[str, str]) -> CallerHead:
-        """Decodes a caller's headers, names in lower case.
+        """Decodes a caller's headers, whose names are in lower case.
 
         Raises:
-            BadInputError: A header cannot be read.
+            BadInputError: A header is malformed.
         """
 
     def upstream_headers(
@@ -273,77 +320,84 @@
         customer: str,
         last_event: int | None,
     ) -> dict[str, str]:
-        """Returns the headers that a request has towards an upstream.
+        """Returns the headers of a request to an upstream.
 
         Args:
-            headers: The caller's.
-            left_s: What is left of the caller's deadline; negative for
+            headers: The caller's headers.
+            left_s: The time left until the caller's deadline; negative if
+                it has none.
+            instance: The upstream that the request is sent to.
+            customer: The customer that the request runs for; empty for
                 none.
-            instance: The upstream it is meant for.
-            customer: Whom it runs for; empty for nobody.
-            last_event: Where a stream goes on; `None` from the start.
+            last_event: The event after which the stream resumes; `None` to
+                start at the beginning.
         """
 
     def item_headers(self, item: JobItem, host: str) -> dict[str, str]:
-        """Returns a batch item's headers as if a caller had sent it."""
+        """Returns the headers of a batch item as a caller would send them."""
 
     def answer_head(
         self, status: int, headers: tuple[tuple[str, str], ...]
     ) -> AnswerHead:
-        """Decodes an upstream's headers."""
+        """Decodes the status and headers of an upstream's answer."""
 
     def configuration(self, value: bytes) -> records.Configuration:
         """Decodes the operators' configuration.
 
         Raises:
-            BadInputError: It cannot be read.
+            BadInputError: It is malformed.
         """
 
     def upstream(self, key: str, value: bytes) -> records.Upstream:
         """Decodes an upstream's entry.
 
         Raises:
-            BadInputError: It cannot be read.
+            BadInputError: It is malformed.
         """
 
     def retire_request(self, key: str) -> str:
-        """Returns the VM with a disk that is to be emptied; empty if none."""
+        """Returns the VM that the operators want to retire.
+
+        Returns:
+            The name of a VM with a disk that is to be emptied; empty if the
+            key is no such request.
+        """
 
     def retire_status(self, vm: str) -> Write:
-        """Returns what tells the operators that a VM may be removed."""
+        """Returns the write that reports to operators that a VM is empty."""
 
     def submission(self, body: bytes) -> Submission:
-        """Decodes a batch job.
+        """Decodes the body that submits a batch job.
 
         Raises:
-            BadInputError: It cannot be read.
+            BadInputError: It is malformed.
         """
 
     def job_call(
         self, method: str, path: str, query: str, headers: Mapping[str, str]
     ) -> JobCall | None:
-        """Decodes a call about a batch job; `None` if it is none.
+        """Decodes a call about a batch job; `None` for any other request.
 
         Raises:
-            BadInputError: It is one, but cannot be read.
+            BadInputError: The call is malformed.
         """
 
     def job_page(self, page: JobPage) -> bytes:
-        """Encodes a part of a job's results."""
+        """Encodes one page of a job's results."""
 
     @property
     def names(self) -> "Names":
-        """The keys of the store that the platform and operators use."""
+        """The keys and prefixes in the store."""
 
 
 class Names(NamedTuple):
-    """Keys of the store.
+    """Keys and prefixes in the store.
 
     Attributes:
         configuration: The key of the newest configuration.
-        operators: The prefix of what operators write.
+        operators: The prefix of the keys that operators write.
         upstreams: The prefix of the upstreams' entries.
-        own: The prefix of what this system writes.
+        own: The prefix of the keys that this system writes.
     """
 
     configuration: str
--- a/packages/gateway/gateway/names.py
+++ b/packages/gateway/gateway/names.py
@@ -1,4 +1,4 @@
-"""The names that the gateway's services register under."""
+"""The names under which the gateway's services are registered."""
 
 SETTINGS = "settings"
 STORE = "platform_store"
--- a/packages/gateway/gateway/records.py
+++ b/packages/gateway/gateway/records.py
@@ -1,4 +1,4 @@
-"""What the operators configure and the platform tells, as typed records."""
+"""The operators' configuration and the platform's data as typed records."""
 
 import random
 from typing import Literal, NamedTuple
@@ -7,36 +7,38 @@
 
 
 class Share(NamedTuple):
-    """One service of a route, and its part of the route's requests."""
+    """A service of a route and its weight in the route's traffic split."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where requests of a host and a path prefix go, and on what terms.
+    """How requests of a host and a path prefix are routed and handled.
 
     Attributes:
-        name: The operators' name for it.
-        host: The host it belongs to, in lower case.
-        prefix: Begins and ends with a slash.
-        kind: What may be repeated.
+        name: The operators' name for the route.
+        host: The host of its requests, in lower case.
+        prefix: The path prefix; it begins and ends with a slash.
+        kind: The class of its requests, which determines whether a request
+            may be repeated.
         timeout_s: The longest time to a request's final answer.
-        target_latency_s: How soon an answer is on time.
-        priority: Rank among routes, 0 the highest.
-        services: Where its requests run.
-        max_attempts: Upstreams that one attempt of a caller may run on.
-        is_public: Whether it asks for no key.
-        is_resumable: Whether a stream may go on at another upstream.
+        target_latency_s: The latency up to which an answer is on time.
+        priority: The rank among routes, 0 the highest.
+        services: The services that run its requests.
+        max_attempts: How many upstreams one attempt of a caller may run on.
+        is_public: Whether requests need no API key.
+        is_resumable: Whether a stream may resume at another upstream.
         has_prompt: Whether its requests describe a prompt.
-        retention_s: How long after its submission a batch item may be
-            given up.
-        completion_target_s: How long after its submission a batch job is
-            due.
-        gap_target_s: The longest pause in a stream that is on time; 0 if
-            nothing is said of it.
-        max_waiting_tokens: Tokens of batch items without a result that one
-            customer may have on the route, over all VMs; 0 for no bound.
+        retention_s: The time after its submission from which a batch item
+            may be given up.
+        completion_target_s: The time after its submission at which a batch
+            job is due.
+        gap_target_s: The longest pause in a stream that counts as on time;
+            0 if there is no target.
+        max_waiting_tokens: How many tokens of batch items without a result
+            one customer may have on the route, over all VMs; 0 for no
+            limit.
     """
 
     name: str
@@ -57,7 +59,7 @@
     gap_target_s: float = 0.0
 
     def choose_service(self) -> str | None:
-        """Returns a service by chance; `None` if none has a weight."""
+        """Returns a random service by weight; `None` if all weights are 0."""
         weights = [share.weight for share in self.services]
         if sum(weights) <= 0:
             return None
@@ -70,14 +72,27 @@
 
 
 class Engine(NamedTuple):
-    """What the engines of a service can do at once."""
+    """The capacity of a service's model engine.
+
+    Attributes:
+        slots: Requests that it runs at once.
+        memory_tokens: Tokens that fit into its key-value cache.
+    """
 
     slots: int
     memory_tokens: int
 
 
 class Service(NamedTuple):
-    """A service that upstreams belong to; `engine` only for model engines."""
+    """A service that upstreams belong to.
+
+    Attributes:
+        name: The service's name.
+        health_path: The path of its health check.
+        max_connections: The operators' connection limit; 0 if not set.
+        engine: The capacity of its model engines; `None` if its upstreams
+            are not model engines.
+    """
 
     name: str
     health_path: str
@@ -86,7 +101,7 @@
 
 
 class CallerBounds(NamedTuple):
-    """What a caller may send, and for how long it may be idle."""
+    """Limits on what a caller sends and on how long it may be idle."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -95,9 +110,9 @@
 
 
 class Customer(NamedTuple):
-    """A customer's row: its keys, and its rate and burst over all VMs.
+    """A customer: its API keys, and its rate and burst over all VMs.
 
-    `rate_per_s` 0 means that nothing limits it.
+    A `rate_per_s` of 0 means that its rate is not limited.
     """
 
     name: str
@@ -108,7 +123,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of what the operators want, in full."""
+    """One complete version of the operators' configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -118,15 +133,15 @@
 
 
 class Upstream(NamedTuple):
-    """One upstream as the platform's list has it.
+    """One upstream on the platform's list.
 
     Attributes:
-        instance: Names this upstream as long as it lives.
+        instance: The name that this upstream has for its whole lifetime.
         service: The service it belongs to.
-        address: `HOST:PORT`, which may be another's later.
-        failure_domain: Where it stands.
+        address: `HOST:PORT`, which another upstream may have later.
+        failure_domain: The failure domain it runs in.
         slots: Requests that it runs at once.
-        is_draining: Whether it is to get nothing new.
+        is_draining: Whether it must not get new requests.
         born_ms: When it was started, in milliseconds of the epoch; 0 if
             unknown.
     """
@@ -141,24 +156,28 @@
 
 
 class Settings(NamedTuple):
-    """What one process is told at its start.
+    """The settings of one gateway process; they are read at its start.
+
+    Addresses are `HOST:PORT`.
 
     Attributes:
         vm: This VM's name.
-        failure_domain: Where it stands.
-        callers_address: Where callers connect.
-        ready_address: Where the balancer asks whether to send callers.
-        peers_address: Where other VMs connect.
-        metrics_address: Where metrics are served; empty for nowhere.
-        store_address: The platform's store.
-        value_bytes: The largest value of the store.
-        min_lease_s: The shortest lease of the store.
-        grace_s: From SIGTERM to SIGKILL.
+        failure_domain: The failure domain that this VM runs in.
+        callers_address: The address that callers connect to.
+        ready_address: The address at which the load balancer checks whether
+            to send callers to this VM.
+        peers_address: The address that other VMs connect to.
+        metrics_address: The address that serves metrics; empty for none.
+        store_address: The address of the platform's store.
+        value_bytes: The largest value that the store takes.
+        min_lease_s: The shortest lease that the store grants.
+        grace_s: The time from SIGTERM to SIGKILL.
         limit_slack: Requests beyond a customer's rate and burst that the
-            operators tolerate in any window.
+            operators tolerate in any window of `limit_window_s`.
         limit_window_s: The length of that window.
-        upstream_connect_timeout_s: For a new connection to an upstream.
-        cores: The processor cores that it may use; 0 if unknown.
+        upstream_connect_timeout_s: The time limit for a new connection to
+            an upstream.
+        cores: The processor cores that the process may use; 0 if unknown.
     """
 
     vm: str
--- a/packages/gateway/gateway/storemessages.py
+++ b/packages/gateway/gateway/storemessages.py
@@ -19,7 +19,7 @@
 
     prefix: str
     after: str
-    is_stale: bool
+    allow_stale: bool
     timeout_s: float
 
 
@@ -47,26 +47,31 @@
 
 
 class Failed(NamedTuple):
-    """The store's failure, as it was told to the VM that called it."""
+    """The error of the store call, as the VM that committed it received it."""
 
     error: dialect.StoreError
 
 
 class GotKey(NamedTuple):
-    """What the key holds."""
+    """The answer to `GetKey`; `entry` is `None` if the key is absent."""
 
     entry: dialect.Entry | None
 
 
 class Changed(NamedTuple):
-    """The revision, or why the change was not made."""
+    """The answer to `Change`.
+
+    Attributes:
+        revision: The store's new revision; 0 if the change was not committed.
+        conflict: Why the change was not committed; `None` if it was.
+    """
 
     revision: int
     conflict: dialect.Conflict | None
 
 
 class Renewed(NamedTuple):
-    """How long the lease runs from now on."""
+    """The answer to `RenewLease`: how long the lease runs from now on."""
 
     ttl_s: float
 
@@ -77,8 +82,8 @@
 Answer = Failed | GotKey | dialect.Page | Changed | dialect.Lease | Renewed
 
 
-def make(store: dialect.Store, request: Request) -> Answer:
-    """Makes a call once."""
+def execute(store: dialect.Store, request: Request) -> Answer:
+    """Makes the call to the store once and returns its answer."""
     if isinstance(request, GetKey):
         got = store.get(request.key, request.timeout_s)
         return GotKey(got.unwrap()) if got.is_ok() else _failed(got)
@@ -87,22 +92,22 @@
             request.prefix,
             request.after,
             request.timeout_s,
-            stale=request.is_stale,
+            stale=request.allow_stale,
         )
         return listed.unwrap() if listed.is_ok() else _failed(listed)
     if isinstance(request, Change):
-        made = store.commit(
+        committed = store.commit(
             request.expected,
             request.writes,
             request.deletes,
             request.timeout_s,
         )
-        if made.is_err():
-            return _failed(made)
-        done = made.unwrap()
-        if isinstance(done, dialect.Conflict):
-            return Changed(0, done)
-        return Changed(done, None)
+        if committed.is_err():
+            return _failed(committed)
+        outcome = committed.unwrap()
+        if isinstance(outcome, dialect.Conflict):
+            return Changed(0, outcome)
+        return Changed(outcome, None)
     if isinstance(request, GrantLease):
         granted = store.grant(request.ttl_s, request.timeout_s)
         return granted.unwrap() if granted.is_ok() else _failed(granted)
@@ -110,5 +115,5 @@
     return Renewed(renewed.unwrap()) if renewed.is_ok() else _failed(renewed)
 
 
-def _failed(made: result.Result[Any, dialect.StoreError]) -> Failed:
-    return Failed(made.unwrap_err())
+def _failed(call: result.Result[Any, dialect.StoreError]) -> Failed:
+    return Failed(call.unwrap_err())
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -1,4 +1,4 @@
-"""Reaches the platform's store, by way of another VM where it must be."""
+"""Calls the platform's store, through another VM if direct access fails."""
 
 import math
 import random
@@ -19,35 +19,38 @@
 
 _events = eventlog.Events("store")
 
-# Calls in a row without an answer after which the way is taken for lost. One
-# alone may be an answer that was lost on the way back.
+# Consecutive unanswered calls after which direct access counts as lost. A
+# single one may only mean that the store's answer was lost.
 _MAX_UNANSWERED = 2
 _PROBE_TIMEOUT_S = 0.5
-# A call that was not answered is followed by one of its own at once: a VM that
-# calls seldom would find out seconds later, and jobs handed in meanwhile would
-# be accepted too late.
+# An unanswered call is followed by a check call at once. A VM that calls
+# rarely would otherwise detect the loss seconds later, and jobs submitted
+# meanwhile would be accepted too late.
 _CHECK_TIMEOUT_S = 0.4
-# VMs that are asked to make one call.
+# The most VMs that are asked, one after the other, to make one call.
 _MAX_HELPERS = 3
-# When no helper reaches the store either, it is away for all; a try of all
-# calls through all VMs would only add to its load when it comes back.
-_ALONE_S = 0.4
-# It counts as away for so long after that; while renewals of leases fail they
-# are made each 0.9 s.
-_AWAY_S = 2.0
-# For the way to the helper and back.
-_TRAVEL_S = 0.15
-_AWAY = dialect.StoreError("refused", "the store is away")
+# How long calls fail at once after no helper reached the store either. The
+# store is then unavailable to all VMs, and trying each call through several VMs
+# would only add to its load when it returns.
+_HELPER_BACKOFF_S = 0.4
+# How much longer than that the store counts as unavailable to all VMs. It
+# exceeds the 0.9 s between two attempts to renew a lease while renewals fail.
+_OUTAGE_MEMORY_S = 2.0
+# The round trip to the helper, added to the time limit of the store call.
+_PEER_ROUND_TRIP_S = 0.15
+_UNAVAILABLE = dialect.StoreError("refused", "the store is away")
 
 
 class StorePath:
-    """A `dialect.Store` that goes by other VMs while its own way is lost.
+    """A `dialect.Store` that calls through peers while direct access is lost.
 
-    The failure: the store turns some VMs away, or they are cut off from it,
-    while it serves the others. Such a VM would refuse jobs, lose its lease
-    and with it its jobs, and go by an old list of upstreams, though each of
-    its peers could call for it. A store that is away for all is found out
-    once, by one thread, and calls to it are answered at once.
+    The failure: the store refuses calls from some VMs, or the network cuts
+    them off, while it serves the others. Without this class an affected VM
+    refuses jobs, loses its lease and thereby its jobs, and uses an outdated
+    list of upstreams, although each of its peers could make the calls for it.
+
+    While the store is unavailable to all VMs, one thread probes it and other
+    calls fail at once.
     """
 
     def __init__(
@@ -57,68 +60,74 @@
         self._direct = direct
         self._peers: services.Peers | None = None
         self._lock = threading.Lock()
-        # Calls are made before this service is started.
+        # Replaced in `start`; other services call the store before that.
         self._probe_key = "probe"
         self._unanswered = 0
-        self._is_lost = False
-        self._alone_until_s = -math.inf
+        self._is_direct_lost = False
+        self._helper_backoff_until_s = -math.inf
         self._helper = ""
-        self._helped = 0
+        self._calls_for_peers = 0
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begins to call for others and to be helped."""
+        """Starts to make calls for peers and to call through them."""
         find = self._kernel.find
         self._members = find(services.MEMBERSHIP, members.Members)
         dialect_ = find(names.DIALECT, dialect.Dialect)
         self._probe_key = f"{dialect_.names.own}probe"
         peers = find(services.PEERS, services.Peers)
         for kind in storemessages.REQUESTS:
-            peers.handle(kind, self._on_request)
+            peers.handle(kind, self._serve_peer)
         peers.understand(*storemessages.ANSWERS)
         self._peers = peers
 
     def stop(self, grace_s: float) -> None:
-        """Ends the probing."""
+        """Ends the thread that probes the store."""
         del grace_s
         self._stopping.set()
 
     def dump(self) -> Any:
-        """Returns whether the own way is lost, and who helps."""
+        """Returns the state of direct access and of calls through peers.
+
+        Returns:
+            `is_lost`: whether direct access is lost; `helper`: the VM that
+            last made a call for this one; `helped`: how many calls this VM
+            made for peers.
+        """
         return {
-            "is_lost": self._is_lost,
+            "is_lost": self._is_direct_lost,
             "helper": self._helper,
-            "helped": self._helped,
+            "helped": self._calls_for_peers,
         }
 
     def get(
         self, key: str, timeout_s: float
     ) -> result.Result[dialect.Entry | None, dialect.StoreError]:
         """See `dialect.Store`."""
-        answer = self._make(storemessages.GetKey(key, timeout_s))
+        answer = self._call(storemessages.GetKey(key, timeout_s))
         if isinstance(answer, storemessages.GotKey):
             return result.Ok(answer.entry)
-        return _error(answer)
+        return _to_err(answer)
 
     def list(
         self, prefix: str, after: str, timeout_s: float, *, stale: bool = False
     ) -> result.Result[dialect.Page, dialect.StoreError]:
         """See `dialect.Store`."""
-        answer = self._make(
+        answer = self._call(
             storemessages.ListKeys(prefix, after, stale, timeout_s)
         )
         if isinstance(answer, dialect.Page):
             return result.Ok(answer)
-        return _error(answer)
+        return _to_err(answer)
 
     def watch(
         self, prefix: str, after_revision: int, wait_s: float, timeout_s: float
     ) -> result.Result[dialect.Page, dialect.StoreError]:
-        """See `dialect.Store`; no other VM waits for this one."""
-        if self._is_lost:
-            return result.Err(_AWAY)
+        """See `dialect.Store`; peers do not make this call for the VM."""
+        if self._is_direct_lost:
+            return result.Err(_UNAVAILABLE)
         watched = self._direct.watch(prefix, after_revision, wait_s, timeout_s)
-        self._note(watched.err())
+        self._record_outcome(watched.err())
         return watched
 
     def commit(
@@ -129,78 +138,85 @@
         timeout_s: float,
     ) -> result.Result[int | dialect.Conflict, dialect.StoreError]:
         """See `dialect.Store`."""
-        answer = self._make(
+        answer = self._call(
             storemessages.Change(expected, writes, deletes, timeout_s)
         )
         if isinstance(answer, storemessages.Changed):
             return result.Ok(answer.conflict or answer.revision)
-        return _error(answer)
+        return _to_err(answer)
 
     def grant(
         self, ttl_s: float, timeout_s: float
     ) -> result.Result[dialect.Lease, dialect.StoreError]:
         """See `dialect.Store`."""
-        answer = self._make(storemessages.GrantLease(ttl_s, timeout_s))
+        answer = self._call(storemessages.GrantLease(ttl_s, timeout_s))
         if isinstance(answer, dialect.Lease):
             return result.Ok(answer)
-        return _error(answer)
+        return _to_err(answer)
 
     def renew(
         self, lease: int, timeout_s: float
     ) -> result.Result[float, dialect.StoreError]:
         """See `dialect.Store`."""
-        answer = self._make(storemessages.RenewLease(lease, timeout_s))
+        answer = self._call(storemessages.RenewLease(lease, timeout_s))
         if isinstance(answer, storemessages.Renewed):
             return result.Ok(answer.ttl_s)
-        return _error(answer)
+        return _to_err(answer)
 
     def end(
         self, lease: int, timeout_s: float
     ) -> result.Result[None, dialect.StoreError]:
-        """See `dialect.Store`; a lease that is not ended lapses by itself."""
+        """See `dialect.Store`.
+
+        The call is only made directly: a lease that is not ended expires.
+        """
         return self._direct.end(lease, timeout_s)
 
     def counts(self) -> tuple[dialect.CallCount, ...]:
         """See `dialect.Store`."""
         return self._direct.counts()
 
-    def _make(self, request: storemessages.Request) -> storemessages.Answer:
-        if not self._is_lost:
-            answer = storemessages.make(self._direct, request)
-            self._note(_error_of(answer))
+    def _call(self, request: storemessages.Request) -> storemessages.Answer:
+        if not self._is_direct_lost:
+            answer = storemessages.execute(self._direct, request)
+            self._record_outcome(_error_of(answer))
             if not _is_refused(answer):
                 return answer
-        if time.monotonic() < self._alone_until_s:
-            return storemessages.Failed(_AWAY)
-        return self._ask(request)
+        if time.monotonic() < self._helper_backoff_until_s:
+            return storemessages.Failed(_UNAVAILABLE)
+        return self._call_through_peers(request)
 
-    def _ask(self, request: storemessages.Request) -> storemessages.Answer:
-        """Has other VMs make a call, one after the other, till one can."""
+    def _call_through_peers(
+        self, request: storemessages.Request
+    ) -> storemessages.Answer:
+        """Asks peers in turn to make a call until one reaches the store."""
         if self._peers is None:
-            return storemessages.Failed(_AWAY)
+            return storemessages.Failed(_UNAVAILABLE)
         for vm in self._helpers():
             called = self._peers.call(
-                vm, request, request.timeout_s + _TRAVEL_S
+                vm, request, request.timeout_s + _PEER_ROUND_TRIP_S
             )
             if called.is_err():
                 error = called.unwrap_err()
                 if error.kind == "timeout":
-                    return _failed("unknown", error.message)
+                    return _failure("unknown", error.message)
                 continue
             answer: storemessages.Answer = called.unwrap()
             if _is_refused(answer):
                 continue
-            self._note_helper(vm)
+            self._set_helper(vm)
             return answer
-        self._alone_until_s = time.monotonic() + _ALONE_S
-        return storemessages.Failed(_AWAY)
+        self._helper_backoff_until_s = time.monotonic() + _HELPER_BACKOFF_S
+        return storemessages.Failed(_UNAVAILABLE)
 
     def _helpers(self) -> tuple[str, ...]:
+        """Returns the VMs to call through, the last helper first."""
         own = self._members.own().vm
-        # The probers know first when a store that was away for all is back.
+        # The probers are the first to detect that a store that was
+        # unavailable to all VMs is back.
         ranked = (
             self._probers()
-            if self._was_alone()
+            if self._is_outage()
             else self._members.leaders("store")
         )
         others = [vm for vm in ranked if vm != own]
@@ -210,13 +226,17 @@
             others.insert(0, self._helper)
         return tuple(others[:_MAX_HELPERS])
 
-    def _note_helper(self, vm: str) -> None:
+    def _set_helper(self, vm: str) -> None:
         if vm != self._helper:
             _events.info("helped", peer=vm)
         self._helper = vm
 
-    def _note(self, error: dialect.StoreError | None) -> None:
-        """Notes what a call of this VM's own says of its way to the store."""
+    def _record_outcome(self, error: dialect.StoreError | None) -> None:
+        """Updates the state of direct access after a direct call.
+
+        Args:
+            error: The call's error; `None` if it succeeded.
+        """
         if error is None or error.kind not in ("refused", "unknown"):
             self._unanswered = 0
             return
@@ -225,36 +245,38 @@
             is_lost = (
                 error.kind == "refused" or self._unanswered >= _MAX_UNANSWERED
             )
-            if self._is_lost or not (is_lost or self._unanswered == 1):
+            if self._is_direct_lost or not (is_lost or self._unanswered == 1):
                 return
-            self._is_lost = is_lost
+            self._is_direct_lost = is_lost
         if not is_lost:
             threading.Thread(
-                target=self._check, name="check", daemon=True
+                target=self._check_access, name="check", daemon=True
             ).start()
             return
         _events.warning("lost", why=error.message)
         threading.Thread(target=self._probe, name="probe", daemon=True).start()
 
-    def _check(self) -> None:
-        """Finds out whether an answer was lost or the way is."""
-        self._note(self._direct.get(self._probe_key, _CHECK_TIMEOUT_S).err())
+    def _check_access(self) -> None:
+        """Makes a call that tells a lost answer from lost access."""
+        self._record_outcome(
+            self._direct.get(self._probe_key, _CHECK_TIMEOUT_S).err()
+        )
 
     def _probe(self) -> None:
-        """Tries the own way until it is there again."""
-        begun_s = time.monotonic()
+        """Calls the store directly until a call succeeds."""
+        started_s = time.monotonic()
         while True:
-            lost_s = time.monotonic() - begun_s
+            lost_s = time.monotonic() - started_s
             pause_s = self._probe_pause_s(lost_s) * random.uniform(0.8, 1.0)
             if self._stopping.wait(pause_s):
                 return
             if self._direct.get(self._probe_key, _PROBE_TIMEOUT_S).is_ok():
                 break
         with self._lock:
-            self._is_lost = False
+            self._is_direct_lost = False
             self._unanswered = 0
-            self._alone_until_s = -math.inf
-        away_s = time.monotonic() - begun_s
+            self._helper_backoff_until_s = -math.inf
+        away_s = time.monotonic() - started_s
         _events.info("back", away_s=round(away_s, 3))
 
     def _probe_pause_s(self, lost_s: float) -> float:
@@ -262,25 +284,28 @@
             self._peers is None or self._members.own().vm in self._probers()
         )
         return probing.pause_s(
-            lost_s, is_away=self._was_alone(), is_prober=is_prober
+            lost_s, is_away=self._is_outage(), is_prober=is_prober
         )
 
     def _probers(self) -> tuple[str, ...]:
+        """Returns the VMs that probe most often during an outage for all."""
         return tuple(self._members.leaders("store")[: probing.PROBERS])
 
-    def _was_alone(self) -> bool:
-        """Tells whether no helper reached the store either, lately."""
-        return time.monotonic() < self._alone_until_s + _AWAY_S
+    def _is_outage(self) -> bool:
+        """Returns whether, recently, no helper reached the store either."""
+        return (
+            time.monotonic() < self._helper_backoff_until_s + _OUTAGE_MEMORY_S
+        )
 
-    def _on_request(
+    def _serve_peer(
         self, vm: str, request: storemessages.Request
     ) -> storemessages.Answer:
         del vm
-        if self._is_lost:
-            return storemessages.Failed(_AWAY)
-        self._helped += 1
-        answer = storemessages.make(self._direct, request)
-        self._note(_error_of(answer))
+        if self._is_direct_lost:
+            return storemessages.Failed(_UNAVAILABLE)
+        self._calls_for_peers += 1
+        answer = storemessages.execute(self._direct, request)
+        self._record_outcome(_error_of(answer))
         return answer
 
 
@@ -295,13 +320,13 @@
     )
 
 
-def _failed(kind: Any, message: str) -> storemessages.Failed:
+def _failure(kind: Any, message: str) -> storemessages.Failed:
     return storemessages.Failed(dialect.StoreError(kind, message))
 
 
-def _error(answer: storemessages.Answer) -> result.Err[dialect.StoreError]:
+def _to_err(answer: storemessages.Answer) -> result.Err[dialect.StoreError]:
     if isinstance(answer, storemessages.Failed):
         return result.Err(answer.error)
     return result.Err(
-        dialect.StoreError("unknown", f"an answer of another kind: {answer!r}")
+        dialect.StoreError("unknown", f"unexpected answer: {answer!r}")
     )
