--- a/tests/gateway/test_startup.py
+++ b/tests/gateway/test_startup.py
@@ -1,14 +1,17 @@
-"""What a gateway does before it serves."""
+"""The start of the gateway's process."""
 
 import subprocess
 import sys
 
-# Parts that only the other programs need.
-_NOT_NEEDED = ("bulrushdeald.assembly", "bulrushdeald.callers", "cleo")
+# Modules that only the other programs need.
+_UNNEEDED_MODULES = ("bulrushdeald.assembly", "bulrushdeald.callers", "cleo")
 
 
-def test_a_gateway_loads_no_other_program() -> None:
-    """Callers find nobody there while a killed process starts again."""
+def test_the_gateway_imports_no_modules_of_other_programs() -> None:
+    """Needless imports lengthen the restart of a killed process.
+
+    Callers cannot connect to the VM until the process has started.
+    """
     code = "import sys, gateway.assembly; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code],
@@ -17,4 +20,4 @@
         text=True,
     ).stdout.split()
     assert "gateway.assembly" in loaded
-    assert not set(_NOT_NEEDED) & set(loaded)
+    assert not set(_UNNEEDED_MODULES) & set(loaded)
--- a/tests/gateway/test_storepath.py
+++ b/tests/gateway/test_storepath.py
@@ -1,4 +1,4 @@
-"""The way to the platform's store, and around a part of it that is lost."""
+"""Calls to the platform's store, directly and through a peer."""
 
 import base64
 
@@ -29,17 +29,18 @@
     return vms
 
 
-def _path(vm: gatewayscene.Vm) -> storepath.StorePath:
+def _store_path(vm: gatewayscene.Vm) -> storepath.StorePath:
     return vm.kernel.find(names.STORE, storepath.StorePath)
 
 
 def test_a_vm_that_the_store_turns_away_accepts_and_finishes_jobs(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The store turns one VM away and serves the others; a job comes there.
+    """The store refuses calls from one VM and serves the others.
 
-    The VM would refuse it, and a caller whose next try meets another such VM
-    loses the job. The VM's own lease would end as well.
+    Without help from a peer the VM refuses a job that is submitted to it, and
+    the job is lost if the caller's next attempt meets another affected VM. The
+    VM's lease ends as well.
     """
     engine = scene.add_engine()
     first, _ = _two_vms(scene)
@@ -52,62 +53,65 @@
     found = first.kernel.find("membership", members.Members)
     lease = found.lease()
     revision = scene.store.revision
-    gatewayscene.until(lambda: _path(first).get("key", 1.0).is_ok())
+    gatewayscene.until(lambda: _store_path(first).get("key", 1.0).is_ok())
     assert found.lease() == lease
     assert scene.store.revision >= revision
 
 
-def test_a_vm_goes_its_own_way_again_when_the_store_is_back(
+def test_direct_access_resumes_when_the_store_is_back(
     scene: gatewayscene.Scene,
 ) -> None:
     first, _ = _two_vms(scene)
     first.client.is_down = True
-    assert _path(first).get("key", 1.0).is_ok()
-    assert _path(first).dump()["helper"] == "vm2"
+    assert _store_path(first).get("key", 1.0).is_ok()
+    assert _store_path(first).dump()["helper"] == "vm2"
     first.client.is_down = False
-    gatewayscene.until(lambda: not _path(first).dump()["is_lost"])
+    gatewayscene.until(lambda: not _store_path(first).dump()["is_lost"])
 
 
-def test_calls_to_a_store_that_is_away_for_all_cost_nothing(
+def test_calls_fail_at_once_while_no_vm_reaches_the_store(
     scene: gatewayscene.Scene,
 ) -> None:
-    """The store is down, and all VMs go on asking for what they need.
+    """The store is down, and all VMs continue to make calls.
 
-    Each call would be made once by the VM itself and once by each helper, a
-    load that grows with the VMs and meets the store as it comes back.
+    If the VM itself and each helper made every call, the load would grow with
+    the number of VMs and hit the store when it returns.
     """
     first, second = _two_vms(scene)
     for vm in (first, second):
         vm.client.is_down = True
-    gatewayscene.until(lambda: _path(second).dump()["is_lost"])
-    gatewayscene.until(lambda: _path(first).dump()["is_lost"])
+    gatewayscene.until(lambda: _store_path(second).dump()["is_lost"])
+    gatewayscene.until(lambda: _store_path(first).dump()["is_lost"])
     before = len(first.client.calls), len(second.client.calls)
     for _ in range(1000):
-        got = _path(first).get("key", 1.0)
+        got = _store_path(first).get("key", 1.0)
         assert got.unwrap_err().kind == "refused"
     made = len(first.client.calls) - before[0]
     made += len(second.client.calls) - before[1]
-    # Only the probes, a few a second; the loop takes no second.
+    # Only probes, a few a second; the loop takes less than a second.
     assert made < 50
 
 
-def test_one_lost_answer_does_not_lose_the_way(
+def test_one_lost_answer_does_not_count_as_lost_access(
     scene: gatewayscene.Scene,
 ) -> None:
-    """Some answers of the store are lost although the change was made."""
+    """The store commits a change, but its answer is lost."""
     first, _ = _two_vms(scene)
     first.client.lost_commits = 1
     write = dialect.Write("key", b"value")
-    made = _path(first).commit((dialect.Expected("key", 0),), (write,), (), 1.0)
+    made = _store_path(first).commit(
+        (dialect.Expected("key", 0),), (write,), (), 1.0
+    )
     assert made.unwrap_err().kind == "unknown"
-    assert not _path(first).dump()["is_lost"]
+    assert not _store_path(first).dump()["is_lost"]
 
 
 def test_a_way_that_is_silent_is_found_lost_after_one_call() -> None:
-    """A VM is cut off from the store, silently, and makes few calls.
+    """A VM that makes few calls gets no more answers from the store.
 
-    A job comes to it two seconds later. It waits for an answer, once and
-    again, and is accepted too late to count.
+    Without a check call after the first unanswered call, a job that arrives
+    two seconds later waits for several unanswered calls and is accepted too
+    late.
     """
     client = gatewaystore.StoreClient(gatewaystore.MemoryStore())
     path = storepath.StorePath(kernel_lib.Kernel(), client)
@@ -117,10 +121,10 @@
     path.stop(0)
 
 
-def test_a_change_that_another_vm_makes_has_its_conflict(
+def test_a_change_made_through_a_peer_returns_its_conflict(
     scene: gatewayscene.Scene,
 ) -> None:
-    """A change made by way of a peer must tell what its conditions met.
+    """A commit through a peer returns the conflict of its conditions.
 
     A conflict taken for a success would put two results at one position.
     """
@@ -129,9 +133,9 @@
     first.client.is_down = True
     expected = (dialect.Expected("key", 0),)
     write = dialect.Write("key", b"value")
-    made = _path(first).commit(expected, (write,), (), 1.0).unwrap()
+    made = _store_path(first).commit(expected, (write,), (), 1.0).unwrap()
     assert isinstance(made, dialect.Conflict)
     assert made.entries[0].value == b"other"
     changed = (dialect.Expected("key", made.entries[0].revision),)
-    made = _path(first).commit(changed, (write,), (), 1.0).unwrap()
+    made = _store_path(first).commit(changed, (write,), (), 1.0).unwrap()
     assert made == scene.store.rows["key"].revision
--- a/tests/support/gatewayengine.py
+++ b/tests/support/gatewayengine.py
@@ -1,4 +1,4 @@
-"""An upstream that speaks the platform's protocol, and fails as told."""
+"""A fake upstream with the platform's protocol and faults set by tests."""
 
 from collections.abc import Iterator
 import threading
@@ -8,13 +8,13 @@
 from bulrushdeal import httpd
 from bulrushdeald import calls
 
-# Below the silence that a first event is allowed.
+# Shorter than the silence that the gateway allows before the first event.
 _MUTE_S = 0.8
 ATTEMPT = "bulrushdeal-request-attempt-id"
 
 
 class Run(NamedTuple):
-    """A request that the upstream ran."""
+    """A request that the upstream executed."""
 
     attempt: str
     path: str
@@ -28,11 +28,12 @@
     """How the next request fails.
 
     Attributes:
-        kind: `cut` breaks off after some events, `part` inside one, `busy`
-            refuses without running, `error` and `never` answer 500 and 422,
-            `mute` pauses for a while after some events, `other` answers for
-            another request, `unsigned` without a signature.
-        after: How many events come before a cut.
+        kind: `cut` breaks the stream off after some events, `part` inside
+            an event; `busy` refuses the request without executing it;
+            `error` and `never` answer 500 and 422; `mute` pauses the stream
+            for `_MUTE_S` after some events; `other` answers with the id of
+            another request, `unsigned` without the server's stamp.
+        after: How many events precede a `cut`, `part` or `mute`.
     """
 
     kind: str
@@ -40,7 +41,16 @@
 
 
 class Engine:
-    """Answers POSTs under `/s/` with events and others with a body."""
+    """Answers requests under `/s/` and `/b/` with events, others with a body.
+
+    Attributes:
+        instance: The name of the upstream's instance.
+        events: How many events a whole stream has.
+        pause_s: The pause after each event.
+        faults: The faults of the next requests, in order.
+        runs: The requests that were executed, in order.
+        open: The number of open streams.
+    """
 
     def __init__(self, instance: str, events: int = 5) -> None:
         self.instance = instance
@@ -49,7 +59,7 @@
         self.faults: list[Fault] = []
         self.runs: list[Run] = []
         self.open = 0
-        self.unmuted = threading.Event()
+        self._closing = threading.Event()
         self._lock = threading.Lock()
         self._server = httpd.Server("127.0.0.1:0", self._serve, 32)
         self._server.start()
@@ -59,7 +69,7 @@
         return f"127.0.0.1:{self._server.port}"
 
     def close(self) -> None:
-        self.unmuted.set()
+        self._closing.set()
         self._server.stop(0.2)
 
     def data(self, number: int) -> str:
@@ -68,7 +78,7 @@
     def _serve(self, request: httpd.Request) -> httpd.Response:
         body = request.body.read()
         if request.length_bytes > len(body):
-            # Its sender broke off: an upstream does not run what is cut.
+            # The sender broke off; an upstream executes no incomplete request.
             return httpd.json_response(400, {})
         with self._lock:
             fault = self.faults.pop(0) if self.faults else Fault("none")
@@ -113,7 +123,7 @@
                         yield event[:5]
                     raise calls.BrokenAnswerError("as told")
                 if fault.kind == "mute" and number == fault.after + 1:
-                    self.unmuted.wait(_MUTE_S)
+                    self._closing.wait(_MUTE_S)
                 yield event
                 if self.pause_s:
                     time.sleep(self.pause_s)
--- a/tests/support/gatewayscene.py
+++ b/tests/support/gatewayscene.py
@@ -1,4 +1,4 @@
-"""Whole gateways on loopback, before a store in memory."""
+"""Whole gateways on loopback addresses with a store in memory."""
 
 from collections.abc import Mapping
 from concurrent import futures
@@ -21,7 +21,7 @@
 from support import gatewaystore
 
 KEY = "the-key"
-# Of a request that is sound.
+# The headers of a valid request.
 HEADERS = {
     "Host": "h.example",
     "Bulrushdeal-Request-Attempt-Id": "a1",
@@ -30,7 +30,7 @@
 
 
 class Answer(NamedTuple):
-    """What a caller gets; `is_whole` is false if it broke off."""
+    """The answer to a caller; `is_whole` is false if it was cut off."""
 
     status: int
     headers: dict[str, str]
@@ -100,10 +100,11 @@
 
 
 def free_address() -> str:
-    """Returns an address that no other process takes meanwhile.
+    """Returns a free address that no other process takes in the meantime.
 
-    Ports that are free on 127.0.0.1 are given to other tests' servers and
-    connections at any moment; each test process has an address of its own.
+    The system may assign a port that is free on 127.0.0.1 to another test's
+    server or connection at any moment, so each test process uses its own
+    loopback address.
     """
     pid = os.getpid()
     host = f"127.{64 + pid // 62500 % 64}.{pid // 250 % 250}.{pid % 250}"
@@ -113,7 +114,7 @@
 
 
 class Vm:
-    """One gateway."""
+    """One VM that runs a gateway."""
 
     def __init__(self, name: str, domain: str, store: Any) -> None:
         self.name = name
@@ -147,7 +148,7 @@
         self.kernel.stop(1.0)
 
     def lose_power(self) -> None:
-        """Cuts it off from all others, and lets its lease run out."""
+        """Disconnects the VM from the store and its peers; ends its lease."""
         self.client.is_down = True
         self.kernel.find("peers", peers.WebsocketPeers).stop(0.1)
         store = self.client.store
@@ -156,7 +157,7 @@
                 store.end_lease(lease)
 
     def connect(self) -> http.client.HTTPConnection:
-        """Returns a connection of a caller's."""
+        """Returns a caller's connection to this VM."""
         port = self.front().port
         return http.client.HTTPConnection("127.0.0.1", port, timeout=10)
 
@@ -201,7 +202,7 @@
 
 
 class Scene:
-    """A store, engines and VMs."""
+    """A store with the engines and VMs that use it."""
 
     def __init__(self) -> None:
         self.store = gatewaystore.MemoryStore()
@@ -242,17 +243,17 @@
         return vm
 
     def close(self) -> None:
-        # Side by side: each VM waits for its balancer before it closes.
+        # In parallel: each VM waits for its load balancer before it stops.
         with futures.ThreadPoolExecutor() as pool:
-            for done in [pool.submit(vm.stop) for vm in self.vms]:
-                done.result()
-            for done in [pool.submit(row.close) for row in self.engines]:
-                done.result()
+            for stopped in [pool.submit(vm.stop) for vm in self.vms]:
+                stopped.result()
+            for closed in [pool.submit(row.close) for row in self.engines]:
+                closed.result()
 
 
 def until(check: Any, timeout_s: float = 15.0) -> None:
-    """Waits until something holds; the time only bounds a failing test."""
+    """Waits until `check()` holds; the timeout only bounds a failing test."""
     end_s = time.monotonic() + timeout_s
     while not check():
-        assert time.monotonic() < end_s, "it never came true"
+        assert time.monotonic() < end_s, "the condition was not met in time"
         time.sleep(0.01)
--- a/tests/support/gatewaystore.py
+++ b/tests/support/gatewaystore.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, with the faults that a test asks for."""
+"""The platform's store in memory, with faults set by tests."""
 
 import threading
 import time
@@ -10,17 +10,18 @@
 
 
 class MemoryStore:
-    """Holds keys for any number of clients."""
+    """The keys, leases and history of a store with any number of clients."""
 
     def __init__(self) -> None:
         self.condition = threading.Condition()
         self.revision = 10
         self.rows: dict[str, dialect.Entry] = {}
         self.leases: dict[int, set[str]] = {}
-        # A number that two VMs had would end the leases of both.
-        self.granted = 0
+        # Makes lease ids unique: with a shared id, ending the lease of one VM
+        # would end that of another as well.
+        self.granted_leases = 0
         self.events: list[dialect.Entry] = []
-        self.oldest = 0
+        self.oldest_revision = 0
 
     def write(self, key: str, value: bytes | None, lease: int = 0) -> None:
         with self.condition:
@@ -31,7 +32,7 @@
                 self.rows.pop(key, None)
             else:
                 self.rows[key] = entry
-            # A key goes with the lease that it was last written under.
+            # A key is bound only to the lease of its last write.
             for held in self.leases.values():
                 held.discard(key)
             if lease:
@@ -45,7 +46,7 @@
 
     def forget_history(self) -> None:
         with self.condition:
-            self.oldest = self.revision
+            self.oldest_revision = self.revision
             self.events = []
 
 
@@ -53,12 +54,13 @@
     """One VM's `dialect.Store`.
 
     Attributes:
-        is_down: Whether each call is refused.
-        is_silent: Whether no call is answered.
-        refuses_commits: Whether each change is refused.
-        lost_commits: Commits whose answer is lost though they are done.
-        calls: What was called, in order.
-        asked: The keys and prefixes that were read, in order.
+        is_down: Whether the store refuses each call.
+        is_silent: Whether the store answers no call.
+        refuses_commits: Whether the store refuses each commit.
+        lost_commits: How many of the next commits take effect although
+            their answers are lost.
+        calls: The names of all calls, in order.
+        read_keys: The keys and prefixes that were read, in order.
     """
 
     def __init__(self, store: MemoryStore) -> None:
@@ -68,13 +70,14 @@
         self.refuses_commits = False
         self.lost_commits = 0
         self.calls: list[str] = []
-        self.asked: list[str] = []
+        self.read_keys: list[str] = []
 
     def about(self, part: str) -> int:
-        """Returns how many reads were of keys with some text in them."""
-        return sum(part in key for key in self.asked)
+        """Returns how many reads were of keys that contain `part`."""
+        return sum(part in key for key in self.read_keys)
 
-    def _refused(self, call: str) -> Any:
+    def _start_call(self, call: str) -> Any:
+        """Records a call; returns its error, or `None` if it may proceed."""
         self.calls.append(call)
         if self.is_down:
             return result.Err(dialect.StoreError("refused", "down"))
@@ -86,16 +89,16 @@
         return (dialect.CallCount("any", "made", len(self.calls)),)
 
     def get(self, key: str, timeout_s: float) -> Any:
-        self.asked.append(key)
-        refused = self._refused("get")
-        return refused or result.Ok(self.store.rows.get(key))
+        self.read_keys.append(key)
+        error = self._start_call("get")
+        return error or result.Ok(self.store.rows.get(key))
 
     def list(
         self, prefix: str, after: str, timeout_s: float, *, stale: bool = False
     ) -> Any:
-        self.asked.append(prefix)
-        if refused := self._refused("list"):
-            return refused
+        self.read_keys.append(prefix)
+        if error := self._start_call("list"):
+            return error
         with self.store.condition:
             rows = tuple(
                 self.store.rows[key]
@@ -107,10 +110,10 @@
     def watch(
         self, prefix: str, after_revision: int, wait_s: float, timeout_s: float
     ) -> Any:
-        self.asked.append(prefix)
-        if refused := self._refused("watch"):
-            return refused
-        if after_revision < self.store.oldest:
+        self.read_keys.append(prefix)
+        if error := self._start_call("watch"):
+            return error
+        if after_revision < self.store.oldest_revision:
             return result.Err(dialect.StoreError("gap", "gone"))
         end_s = time.monotonic() + wait_s
         with self.store.condition:
@@ -134,8 +137,8 @@
         deletes: tuple[str, ...],
         timeout_s: float,
     ) -> Any:
-        if refused := self._refused("commit"):
-            return refused
+        if error := self._start_call("commit"):
+            return error
         if self.refuses_commits:
             return result.Err(dialect.StoreError("refused", "no changes"))
         with self.store.condition:
@@ -149,7 +152,7 @@
                 return result.Ok(dialect.Conflict(found))
             for key in deletes:
                 self.store.write(key, None)
-            # One change has one revision for all its keys.
+            # All keys of a commit get the same revision.
             revision = self.store.revision + 1
             for write in writes:
                 self.store.revision = revision - 1
@@ -161,23 +164,23 @@
             return result.Ok(self.store.revision)
 
     def grant(self, ttl_s: float, timeout_s: float) -> Any:
-        if refused := self._refused("grant"):
-            return refused
+        if error := self._start_call("grant"):
+            return error
         with self.store.condition:
-            self.store.granted += 1
-            lease = 1000 + self.store.granted
+            self.store.granted_leases += 1
+            lease = 1000 + self.store.granted_leases
             self.store.leases[lease] = set()
         return result.Ok(dialect.Lease(lease, ttl_s))
 
     def renew(self, lease: int, timeout_s: float) -> Any:
-        if refused := self._refused("renew"):
-            return refused
+        if error := self._start_call("renew"):
+            return error
         if lease not in self.store.leases:
             return result.Err(dialect.StoreError("no_lease", "ended"))
         return result.Ok(3.0)
 
     def end(self, lease: int, timeout_s: float) -> Any:
-        if refused := self._refused("end"):
-            return refused
+        if error := self._start_call("end"):
+            return error
         self.store.end_lease(lease)
         return result.Ok(None)
--- a/tests/usersplatform/test_operators.py
+++ b/tests/usersplatform/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators and upstreams write into the platform's store."""
+"""Decoding what operators and upstreams write to the platform's store."""
 
 import json
 from typing import Any
@@ -26,7 +26,7 @@
     return json.dumps(_UPSTREAM | more).encode()
 
 
-def test_an_upstream_is_read() -> None:
+def test_an_upstream_is_decoded() -> None:
     read = operators.upstream("servers/i-1", _entry(state="draining"))
     assert read.instance == "i-1"
     assert read.is_draining
@@ -46,12 +46,12 @@
         _entry(born=1.5),
     ],
 )
-def test_another_writers_entry_is_refused(value: bytes) -> None:
+def test_a_malformed_upstream_is_refused(value: bytes) -> None:
     with pytest.raises(dialect.BadInputError):
         operators.upstream("servers/i-1", value)
 
 
-def test_a_configuration_is_read() -> None:
+def test_a_configuration_is_decoded() -> None:
     value = gatewayscene.configuration(7)
     split = [{"service": "x", "weight": 90}, {"service": "y", "weight": 10}]
     value["routes"][4]["cap"] = 900
@@ -80,7 +80,7 @@
 
 
 @hypothesis.given(st.sampled_from(sorted(_UPSTREAM)), _JSON)
-def test_whatever_an_entry_holds_it_is_read_or_refused(
+def test_any_upstream_entry_is_decoded_or_refused(
     name: str, value: Any
 ) -> None:
     try:
@@ -93,9 +93,7 @@
     st.sampled_from(["version", "routes", "services", "limits", "tenants"]),
     _JSON,
 )
-def test_whatever_a_configuration_holds_it_is_read_or_refused(
-    name: str, value: Any
-) -> None:
+def test_any_configuration_is_decoded_or_refused(name: str, value: Any) -> None:
     data = gatewayscene.configuration() | {name: value}
     try:
         operators.configuration(json.dumps(data).encode())
@@ -103,6 +101,6 @@
         return
 
 
-def test_a_request_to_retire_names_its_machine() -> None:
+def test_a_retire_request_names_its_vm() -> None:
     assert operators.retire_request("op/retire/store-1") == "store-1"
     assert operators.retire_request("op/config") == ""
--- a/tests/usersplatform/test_settings.py
+++ b/tests/usersplatform/test_settings.py
@@ -10,7 +10,7 @@
 from bulrushplatform import settings
 from gateway import dialect
 
-_GOOD: dict[str, Any] = {
+_VALID: dict[str, Any] = {
     "node": "front-a-1",
     "zone": "a",
     "ip": "10.1.0.5",
@@ -22,8 +22,8 @@
 }
 
 
-def test_a_good_file_is_read() -> None:
-    read = settings.decode(_GOOD)
+def test_a_valid_file_is_decoded() -> None:
+    read = settings.decode(_VALID)
     assert read.vm == "front-a-1"
     assert read.peers_address == "10.1.0.5:7660"
     assert read.min_lease_s == 1.0
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("name", ["node", "zone", "listen", "platform"])
 def test_a_missing_field_is_named(name: str) -> None:
-    data = copy.deepcopy(_GOOD)
+    data = copy.deepcopy(_VALID)
     del data[name]
     with pytest.raises(dialect.BadInputError, match=name):
         settings.decode(data)
@@ -40,13 +40,13 @@
 
 @pytest.mark.parametrize("value", [-1, "8", True, float("nan")])
 def test_a_wrong_value_is_named(value: Any) -> None:
-    data = copy.deepcopy(_GOOD)
+    data = copy.deepcopy(_VALID)
     data["bounds"]["grace_s"] = value
     with pytest.raises(dialect.BadInputError, match="grace_s"):
         settings.decode(data)
 
 
-def test_a_file_that_is_none_is_one_line(tmp_path: pathlib.Path) -> None:
+def test_an_unreadable_file_is_a_user_error(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text("node = ")
     with pytest.raises(errors.UserError, match=r"settings\.toml"):
@@ -55,8 +55,8 @@
         settings.read({})
 
 
-def test_the_processor_is_a_share_of_a_core_times_its_speed() -> None:
+def test_cores_are_the_share_of_a_core_times_its_speed() -> None:
     limits = {"cpu_share": 0.5, "cores": 3}
-    assert settings.decode({**_GOOD, "limits": limits}).cores == 1.5
-    without = {name: row for name, row in _GOOD.items() if name != "limits"}
+    assert settings.decode({**_VALID, "limits": limits}).cores == 1.5
+    without = {name: row for name, row in _VALID.items() if name != "limits"}
     assert settings.decode(without).cores == 0.0
--- a/tests/usersplatform/test_store.py
+++ b/tests/usersplatform/test_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's key-value store."""
+"""The client of the platform's key-value store."""
 
 import base64
 import json
@@ -11,7 +11,7 @@
 
 
 class _Server:
-    """Answers each call with the next of its answers."""
+    """Answers each call with the next of the given answers."""
 
     def __init__(self, *answers: tuple[int, Any]) -> None:
         self.answers = list(answers)
@@ -67,7 +67,7 @@
     server.close()
 
 
-def test_a_change_says_whether_it_may_have_been_made() -> None:
+def test_a_commit_error_tells_whether_it_may_have_taken_effect() -> None:
     server = _Server(
         (200, {"revision": 12}),
         (412, {"items": [_row("k", b"v", 3)]}),
@@ -117,13 +117,14 @@
     server.close()
 
 
-def test_a_mute_store_may_have_made_the_change() -> None:
-    """The store is away, or takes a change and never answers.
+def test_a_commit_without_an_answer_has_an_unknown_outcome() -> None:
+    """The store accepts a commit and never answers, or cannot be reached.
 
-    Only the first one is surely not done; the second must be settled.
+    A commit without an answer may have taken effect, so its outcome has to be
+    settled. Only a failed connection guarantees that it had no effect.
     """
-    with socket.create_server(("127.0.0.1", 0)) as mute:
-        port = mute.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as silent_server:
+        port = silent_server.getsockname()[1]
         client = store.KeyValueStore(f"127.0.0.1:{port}")
         answer = client.commit((), (), (), 0.2)
         assert answer.unwrap_err().kind == "unknown"
--- a/tests/usersplatform/test_wire.py
+++ b/tests/usersplatform/test_wire.py
@@ -1,4 +1,4 @@
-"""The headers and bodies of callers and upstreams."""
+"""Decoding and encoding the headers and bodies of callers and upstreams."""
 
 import json
 
@@ -20,8 +20,8 @@
 }
 
 
-def test_an_upstream_sees_neither_the_key_nor_what_the_caller_forged() -> None:
-    """A caller says that it is another customer."""
+def test_an_upstream_gets_neither_the_key_nor_forged_headers() -> None:
+    """A caller forges the header that names its customer."""
     sent = wire.Dialect().upstream_headers(
         _HEADERS, left_s=1.5, instance="i-1", customer="c", last_event=3
     )
@@ -36,7 +36,7 @@
     assert "transfer-encoding" not in sent
 
 
-def test_a_deadline_that_is_over_is_not_told_as_none() -> None:
+def test_an_expired_deadline_is_still_sent() -> None:
     sent = wire.Dialect().upstream_headers(
         _HEADERS, left_s=0.0, instance="i", customer="", last_event=None
     )
@@ -44,7 +44,7 @@
     assert "bulrushdeal-tenant" not in sent
 
 
-def test_a_callers_head_is_read() -> None:
+def test_caller_headers_are_decoded() -> None:
     more = {
         "bulrushdeal-model": "m",
         "bulrushdeal-token-usage": "1460,80",
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("value", ["-1", "soon", "1.5", ""])
-def test_a_number_that_is_none_is_bad_input(value: str) -> None:
+def test_a_malformed_number_is_bad_input(value: str) -> None:
     with pytest.raises(dialect.BadInputError):
         wire.Dialect().caller_head({"bulrushdeal-deadline-ms": value})
 
@@ -70,7 +70,7 @@
         (200, (("Bulrushdeal-Server-Stamp", "x"),), False, True),
     ],
 )
-def test_only_an_upstreams_own_word_says_that_it_did_not_run(
+def test_has_not_run_needs_an_explicit_statement(
     status: int,
     headers: tuple[tuple[str, str], ...],
     has_not_run: bool,
@@ -80,7 +80,7 @@
     assert (head.has_not_run, head.is_signed) == (has_not_run, is_signed)
 
 
-def test_a_load_that_cannot_be_read_is_none() -> None:
+def test_a_malformed_load_is_none() -> None:
     for value in ("3,0", "a,b,c", ""):
         headers = (("Bulrushdeal-Server-Load", value),)
         assert wire.Dialect().answer_head(200, headers).load is None
@@ -89,7 +89,7 @@
     assert load == dialect.Load(3, 0, 8)
 
 
-def test_calls_about_jobs_are_known() -> None:
+def test_job_calls_are_decoded() -> None:
     read = wire.Dialect().job_call
     wait = {"bulrushdeal-wait-ms": "1000"}
     assert read("GET", "/lots/j", "after=4", wait) == dialect.JobCall(
@@ -104,14 +104,14 @@
         read("GET", "/lots/j", "after=x", {})
 
 
-def test_an_item_says_how_many_tokens_it_may_take() -> None:
+def test_the_tokens_of_an_item_are_decoded() -> None:
     item = {"id": "i", "path": "/b/1", "headers": {}, "body": "", "tokens": 940}
     body = json.dumps({"items": [item]}).encode()
     (read,) = wire.Dialect().submission(body).items
     assert read == dialect.JobItem("i", "/b/1", {}, b"", 940)
 
 
-def test_a_page_of_results_is_written() -> None:
+def test_a_page_of_results_is_encoded() -> None:
     page = dialect.JobPage(3, 2, (dialect.ItemResult("i", True, "a\nb"),))
     assert json.loads(wire.Dialect().job_page(page)) == {
         "total": 3,
