--- a/packages/daemon/bulrushdeald/claims.py
+++ b/packages/daemon/bulrushdeald/claims.py
@@ -17,27 +17,27 @@
 
 _log = logs.Log("claims")
 
-_MAX_INDEXES = 64
+_MAX_CACHED_INDEXES = 64
 Verdict = Literal["held", "lost", "cancelled", "unsure"]
 
 
 class Lost(NamedTuple):
-    """An offered chunk that will not run here.
+    """A chunk that this VM does not run, or no longer runs.
 
     Attributes:
-        ended: What the coordinator is to be told.
+        ended: What to report to the coordinator.
     """
 
     ended: batchmessages.Ended
 
     @property
     def is_open(self) -> bool:
-        """Whether the next holder takes it over as it was given back."""
+        """Whether the chunk was given back for another VM to claim."""
         return self.ended.state == "open"
 
 
 class Claims:
-    """Claims chunks for one VM."""
+    """Claims, verifies and gives back chunks on behalf of one VM."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
     def claim(
         self, offer: batchmessages.Offer
     ) -> result.Result[chunkrun.ChunkRun, Lost]:
-        """Claims an offered chunk and reads its items."""
+        """Claims an offered chunk by compare-and-swap and loads its items."""
         key = batchrecords.chunk_key(offer.job, offer.chunk)
-        partial = self._earlier(key, offer)
+        partial = self._stored_partial(key, offer)
         record = batchrecords.ChunkRecord(
             "running",
             offer.epoch,
@@ -69,15 +69,16 @@
         )
         put = self._keyvalue.put(key, batchrecords.dump(record), offer.revision)
         if isinstance(put, result.Err):
-            # Another holder has it, or nobody knows: not knowing must count
-            # as lost, since only a known claim may run.
-            return result.Err(_lost(offer, "unsure"))
+            # Another VM holds the chunk, or the outcome of the write is
+            # unknown. Unknown counts as lost, since a chunk may only run
+            # under a confirmed claim.
+            return result.Err(_lost_without_revision(offer, "unsure"))
         holding = batchmessages.Holding(
             offer.job, offer.chunk, offer.epoch, put.ok_value
         )
-        return self._load(holding, record)
+        return self._load_run(holding, record)
 
-    def _earlier(
+    def _stored_partial(
         self, key: str, offer: batchmessages.Offer
     ) -> objects.ObjectRef | None:
         if offer.revision == 0:
@@ -85,38 +86,47 @@
         entry = self._keyvalue.get(key)
         if isinstance(entry, result.Err) or entry.ok_value is None:
             return None
-        record = _chunk_record(entry.ok_value)
+        record = _decode_chunk_record(entry.ok_value)
         return record.partial if record is not None else None
 
-    def _load(
+    def _load_run(
         self,
         holding: batchmessages.Holding,
         record: batchrecords.ChunkRecord,
     ) -> result.Result[chunkrun.ChunkRun, Lost]:
-        # The job is read after the claim, never before. A cancellation first
-        # marks the job and then looks for running chunks: it sees this
-        # claim, or this read sees the cancellation.
-        job = self._job(holding.job)
+        # The job must be read after the claim. A cancellation marks the job
+        # first and looks for running chunks second, so either it sees this
+        # claim or this read sees the cancellation.
+        job = self._read_job(holding.job)
         if job is None:
-            # The coordinator finds that nobody holds it and offers it again
-            # after a while; giving it back would try again at once.
-            return result.Err(_lost(holding, "unsure"))
+            # The coordinator finds that no VM holds the chunk and offers it
+            # again after a while. Giving the chunk back would cause an
+            # immediate retry.
+            return result.Err(_lost_without_revision(holding, "unsure"))
         if job.state != "in_progress":
-            return result.Err(self._void(holding, job.has_ended))
-        items = self._items(job, holding.chunk)
+            return result.Err(self._void_claim(holding, job.has_ended))
+        items = self._read_items(job, holding.chunk)
         if items is None and self._clock.wall_s() < job.deadline_wall_s:
-            return result.Err(_lost(holding, "unsure"))
+            return result.Err(_lost_without_revision(holding, "unsure"))
         if items is None:
-            # Both copies are gone for good; the rest of the job has to end.
+            # No copy of the input could be read up to the deadline, so it
+            # counts as lost for good. The chunk ends without items, so that
+            # the rest of the job can complete.
             _log.error("Input of %s/%d is lost.", job.job, holding.chunk)
             items = ()
         run = chunkrun.ChunkRun(job, holding, items)
         if record.partial is not None:
-            self._restore(run, record.partial)
+            self._restore_partial(run, record.partial)
         return result.Ok(run)
 
     def verify(self, holding: batchmessages.Holding) -> Verdict:
-        """Reads whether a chunk is still this VM's to run."""
+        """Checks the stored records for whether this VM still holds a chunk.
+
+        Returns:
+            `held`; `lost` if another VM has claimed the chunk or its record is
+            gone; `cancelled` if its job no longer runs; `unsure` if a record
+            could not be read.
+        """
         key = batchrecords.chunk_key(holding.job, holding.chunk)
         entry = self._keyvalue.get(key)
         if isinstance(entry, result.Err):
@@ -125,12 +135,12 @@
             return "lost"
         if entry.ok_value.revision != holding.revision:
             return "lost"
-        job = self._job(holding.job)
+        job = self._read_job(holding.job)
         if job is None:
             return "unsure"
         return "held" if job.state == "in_progress" else "cancelled"
 
-    def _job(self, job: str) -> batchrecords.JobRecord | None:
+    def _read_job(self, job: str) -> batchrecords.JobRecord | None:
         entry = self._keyvalue.get(batchrecords.job_key(job))
         if isinstance(entry, result.Err) or entry.ok_value is None:
             return None
@@ -142,19 +152,21 @@
             _log.error("Job %s has an unreadable record: %s.", job, error)
             return None
 
-    def _items(
+    def _read_items(
         self, job: batchrecords.JobRecord, chunk: int
     ) -> tuple[splitter.Item, ...] | None:
-        index = self._index(job)
+        index = self._file_index(job)
         if index is None or chunk >= len(index.chunks):
             return None
         data = self._replicas.get(index.chunks[chunk].ref)
         if isinstance(data, result.Err):
-            _log.warning("Input of %s/%d: no copy.", job.job, chunk)
+            _log.warning(
+                "Input of %s/%d: no copy could be read.", job.job, chunk
+            )
             return None
         return splitter.items_of(data.ok_value)
 
-    def _index(
+    def _file_index(
         self, job: batchrecords.JobRecord
     ) -> batchrecords.FileIndex | None:
         index = self._indexes.get(job.job)
@@ -164,16 +176,18 @@
         if isinstance(data, result.Err):
             return None
         index = batchrecords.load(batchrecords.FileIndex, data.ok_value)
-        while len(self._indexes) >= _MAX_INDEXES:
+        while len(self._indexes) >= _MAX_CACHED_INDEXES:
             del self._indexes[next(iter(self._indexes))]
         self._indexes[job.job] = index
         return index
 
-    def _restore(self, run: chunkrun.ChunkRun, ref: objects.ObjectRef) -> None:
+    def _restore_partial(
+        self, run: chunkrun.ChunkRun, ref: objects.ObjectRef
+    ) -> None:
         data = self._replicas.get(ref)
         if isinstance(data, result.Err):
             # The items run again, which wastes work but loses nothing.
-            _log.warning("Partial result %s: no copy.", ref.name)
+            _log.warning("Partial result %s: no copy could be read.", ref.name)
             return
         run.restore(batchrecords.load(chunkrun.Partial, data.ok_value))
 
@@ -182,26 +196,32 @@
         holding: batchmessages.Holding,
         partial: objects.ObjectRef | None,
     ) -> Lost:
-        """Lets another VM claim a chunk at once."""
+        """Marks a chunk as open, so that another VM can claim it at once.
+
+        Args:
+            holding: The chunk.
+            partial: The stored answers so far, if there are any.
+        """
         record = batchrecords.ChunkRecord(
             "open", holding.epoch, self._vm, self._incarnation, partial=partial
         )
-        return self._end(holding, record, "open")
+        return self._write_end(holding, record, "open")
 
-    def _void(
+    def _void_claim(
         self, holding: batchmessages.Holding, job_has_ended: bool
     ) -> Lost:
         if job_has_ended:
-            # Its chunks' records are deleted already; this one came late.
+            # The other chunk records of the job are already deleted, so the
+            # record that this late claim created is deleted too.
             key = batchrecords.chunk_key(holding.job, holding.chunk)
             self._keyvalue.delete(key, holding.revision)
-            return _lost(holding, "unsure")
+            return _lost_without_revision(holding, "unsure")
         record = batchrecords.ChunkRecord(
             "void", holding.epoch, self._vm, self._incarnation
         )
-        return self._end(holding, record, "void")
+        return self._write_end(holding, record, "void")
 
-    def _end(
+    def _write_end(
         self,
         holding: batchmessages.Holding,
         record: batchrecords.ChunkRecord,
@@ -212,7 +232,7 @@
             key, batchrecords.dump(record), holding.revision
         )
         if isinstance(put, result.Err):
-            return _lost(holding, "unsure")
+            return _lost_without_revision(holding, "unsure")
         return Lost(
             batchmessages.Ended(
                 holding.job, holding.chunk, state, holding.epoch, put.ok_value
@@ -220,14 +240,14 @@
         )
 
 
-def _lost(
+def _lost_without_revision(
     chunk: batchmessages.Offer | batchmessages.Holding,
     state: batchmessages.EndState,
 ) -> Lost:
     return Lost(batchmessages.Ended(chunk.job, chunk.chunk, state))
 
 
-def _chunk_record(
+def _decode_chunk_record(
     entry: services.Entry,
 ) -> batchrecords.ChunkRecord | None:
     try:
--- a/packages/daemon/bulrushdeald/coordinator.py
+++ b/packages/daemon/bulrushdeald/coordinator.py
@@ -1,4 +1,4 @@
-"""Offers chunks of batch jobs to the VMs and ends jobs that are done."""
+"""Assigns chunks of batch jobs to VMs and completes finished jobs."""
 
 import functools
 import threading
@@ -24,26 +24,27 @@
 _log = logs.Log("coordinator")
 
 NAME = "coordinator"
-_TICK_S = 0.5
-_SWEEP_S = 10.0
-_EXPIRY_S = 3600.0
+_TICK_INTERVAL_S = 0.5
+_QUEUE_SWEEP_INTERVAL_S = 10.0
+_EXPIRY_SWEEP_INTERVAL_S = 3600.0
 _CALL_TIMEOUT_S = 1.0
-# A holder that was not heard of for so long is asked, and loses the chunk
-# if it does not say that it still runs it.
-_SILENT_S = 6.0
-# VMs report in turn, the whole fleet about so often; a holder may miss
-# some reports before it counts as silent.
+# After this time without a report, the coordinator queries a chunk's holder
+# and takes the chunk back unless the holder confirms that it still runs it.
+_HOLDER_SILENCE_S = 6.0
+# The work reports that a coordinator receives per second from all VMs
+# together. A fleet of more VMs than this makes each VM report less often.
 REPORTS_PER_S = 50.0
-_MISSED_REPORTS = 3
-_LOADS_A_ROUND = 50
-# A cancelled chunk's holder has so long to seal what was answered. It is
-# longer than `worker` goes on without a coordinator's word, so that a job
-# that shows as cancelled runs nowhere.
-_CANCEL_S = 12.0
+# How many reports a holder may miss before it counts as silent.
+_MAX_MISSED_REPORTS = 3
+_MAX_LOADS_PER_TICK = 50
+# How long the holder of a cancelled chunk has to seal the answers so far.
+# This exceeds the time after which a worker without a coordinator's
+# confirmation checks its claim, so a job shown as cancelled runs nowhere.
+_CANCEL_GRACE_S = 12.0
 
 
 class Coordinator:
-    """Coordinates the jobs of the buckets that fall to this VM."""
+    """Coordinates the batch jobs in the buckets assigned to this VM."""
 
     def __init__(
         self,
@@ -56,14 +57,14 @@
         self._clock = clock or clock_lib.SystemClock()
         self._wake = threading.Event()
         self._is_stopping = False
-        self._silent: set[str] = set()
-        self._expired_s = self._clock.monotonic_s()
-        self._expired = 0
-        self._swept_s = float("-inf")
+        self._unresponsive_vms: set[str] = set()
+        self._expiry_swept_s = self._clock.monotonic_s()
+        self._expired_count = 0
+        self._queue_swept_s = float("-inf")
         self._buckets: list[int] = []
 
     def connect(self) -> None:
-        """Looks the other services up and answers peers."""
+        """Looks up the other services and registers the message handlers."""
         find = self._kernel.find
         self._keyvalue = find(services.KEYVALUE, services.KeyValue)
         self._membership = find(services.MEMBERSHIP, services.Membership)
@@ -79,61 +80,64 @@
         self._finisher = finishing.Finisher(
             self._keyvalue, self._replicas, self._clock, self._retention
         )
-        self._table = jobtable.JobTable(self._weight)
+        self._table = jobtable.JobTable(self._batch_weight)
         self._peers.understand(*batchmessages.ANSWERS)
         self._peers.handle(batchmessages.WorkReport, self._on_report)
-        self._peers.handle(batchmessages.JobNotice, self._on_notice)
+        self._peers.handle(batchmessages.JobNotice, self._on_job_notice)
         self._peers.handle(batchmessages.CoordinatorPing, self._on_ping)
 
     def start(self) -> None:
-        """Begins to coordinate."""
+        """Starts the coordinator thread."""
         self.connect()
         threading.Thread(target=self._loop, name=NAME, daemon=True).start()
 
     def stop(self, grace_s: float) -> None:
-        """Ends at once: another VM takes the buckets over."""
+        """Stops at once; another VM takes over the buckets."""
         del grace_s
         self._is_stopping = True
         self._wake.set()
 
     def dump(self) -> Any:
-        """Returns the jobs coordinated here."""
+        """Returns the state of the jobs that this VM coordinates."""
         return {
             "buckets": self._buckets,
             "jobs": self._table.dump(),
-            "expired_records": self._expired,
+            "expired_records": self._expired_count,
         }
 
     def _loop(self) -> None:
         while not self._is_stopping:
             try:
                 self.tick()
-            except Exception:  # noqa: BLE001 - the loop has to live on.
-                _log.exception("A round failed.")
-            self._wake.wait(_TICK_S)
+            except Exception:  # noqa: BLE001 - the loop must keep running.
+                _log.exception("The coordinator's round failed.")
+            self._wake.wait(_TICK_INTERVAL_S)
             self._wake.clear()
 
     def tick(self) -> None:
-        """Does what is due: sweep, load, watch the holders, end jobs."""
+        """Runs one round: finds and loads jobs, checks holders, ends jobs."""
         now_s = self._clock.monotonic_s()
-        if now_s - self._swept_s >= _SWEEP_S:
-            self._swept_s = now_s
-            # Which failure domains there are has to be known before the
-            # first of them is lost.
+        if now_s - self._queue_swept_s >= _QUEUE_SWEEP_INTERVAL_S:
+            self._queue_swept_s = now_s
+            # Records the failure domains seen so far. A domain that is lost
+            # before it was seen would not count as one, and both copies of
+            # an object could be placed in a single domain.
             self._replicas.stores()
-            self._ping_others()
+            self._ping_candidates()
             self._buckets = self.coordinators.own_buckets()
-            self._sweep()
-            if now_s - self._expired_s >= _EXPIRY_S:
-                self._expired_s = now_s
-                self._expired += sum(map(self._retention.sweep, self._buckets))
-        self._load_some()
-        self._silent.clear()
+            self._sweep_queues()
+            if now_s - self._expiry_swept_s >= _EXPIRY_SWEEP_INTERVAL_S:
+                self._expiry_swept_s = now_s
+                self._expired_count += sum(
+                    map(self._retention.sweep, self._buckets)
+                )
+        self._load_jobs()
+        self._unresponsive_vms.clear()
         for view in self._table.loaded():
-            self._watch(view)
-            self._end(view)
+            self._check_holders(view)
+            self._finish_if_ended(view)
 
-    def _ping_others(self) -> None:
+    def _ping_candidates(self) -> None:
         own = self._membership.own().vm
         ping = batchmessages.CoordinatorPing(self._membership.incarnation())
         for vm in self.coordinators.candidates():
@@ -143,11 +147,12 @@
             if isinstance(answer, result.Err):
                 self.coordinators.suspect(vm)
 
-    # Which jobs there are.
+    # Finding and loading jobs.
 
-    def _sweep(self) -> None:
-        # A job's notice may have been lost, or its coordinator with it: the
-        # queue in the platform's service has each job that has not ended.
+    def _sweep_queues(self) -> None:
+        # The notice of a new job can be lost, as can the coordinator that
+        # received it. The queue in the key-value service is authoritative:
+        # it lists every job that has not ended.
         known = self._table.names()
         found: dict[str, batchrecords.QueueEntry] = {}
         for bucket in self._buckets:
@@ -156,22 +161,23 @@
                 _log.warning("Cannot read the queue: %s.", entries.err_value)
                 return
             for entry in entries.ok_value:
-                queued = _load_entry(entry)
+                queued = _decode_queue_entry(entry)
                 if queued is not None:
                     found[queued.job] = queued
-        # Only what was known before: a notice may have come meanwhile.
+        # Only forgets jobs known before the read: a notice may have added a
+        # new job since.
         self._table.forget(known - set(found))
         for queued in found.values():
             self._table.add(queued)
 
-    def _load_some(self) -> None:
-        for view in self._table.to_load()[:_LOADS_A_ROUND]:
-            if not self._load(view):
-                # The platform's service is out; the next calls would each
-                # wait for their timeout.
+    def _load_jobs(self) -> None:
+        for view in self._table.to_load()[:_MAX_LOADS_PER_TICK]:
+            if not self._load_job(view):
+                # The key-value service is unavailable, and each further
+                # call would block until its timeout.
                 return
 
-    def _load(self, view: jobview.JobView) -> bool:
+    def _load_job(self, view: jobview.JobView) -> bool:
         job = view.entry.job
         entry = self._keyvalue.get(batchrecords.job_key(job))
         if isinstance(entry, result.Err):
@@ -203,7 +209,7 @@
         self._table.update(view, record, revision, known, now_s)
         return True
 
-    # Messages.
+    # Message handlers.
 
     def _on_report(
         self, vm: str, report: batchmessages.WorkReport
@@ -212,15 +218,16 @@
             vm, report, self._clock.monotonic_s(), self._clock.wall_s()
         )
         if report.ended or offers.offers:
-            # A job may have ended, or the customer's next has to be read.
+            # A job may have ended, or the customer's next job may have to be
+            # loaded.
             self._wake.set()
         return offers
 
-    def _weight(self, customer: str) -> float:
+    def _batch_weight(self, customer: str) -> float:
         row = self._config.customer(customer)
         return row.batch_weight if row is not None else 1.0
 
-    def _on_notice(
+    def _on_job_notice(
         self, vm: str, notice: batchmessages.JobNotice
     ) -> batchmessages.Noted:
         del vm
@@ -234,24 +241,25 @@
         del vm, ping
         return batchmessages.Noted()
 
-    # Watching holders.
+    # Checking holders.
 
-    def _watch(self, view: jobview.JobView) -> None:
+    def _check_holders(self, view: jobview.JobView) -> None:
         now_s = self._clock.monotonic_s()
         vms = len(self._membership.entry_vms())
-        silent_s = _SILENT_S + _MISSED_REPORTS * vms / REPORTS_PER_S
+        silent_s = _HOLDER_SILENCE_S + _MAX_MISSED_REPORTS * vms / REPORTS_PER_S
         self._table.change(view, lambda: view.expire_offers(now_s))
         running = self._table.change(view, view.running)
         for number, chunk in running:
-            is_heard = now_s - chunk.since_s <= silent_s
-            if is_heard and self._membership.is_listed(chunk.vm):
+            is_recent = now_s - chunk.since_s <= silent_s
+            if is_recent and self._membership.is_listed(chunk.vm):
                 continue
-            if self._holds(view.entry.job, number, chunk):
+            if self._confirms_hold(view.entry.job, number, chunk):
                 confirm = functools.partial(view.confirm, number, now_s)
                 self._table.change(view, confirm)
                 continue
-            # It may be frozen and come back. Its seal then expects a
-            # revision that the next claim, or this, has changed.
+            # The holder may be frozen and resume later. Its seal then fails
+            # with a revision conflict, since the next claim or `_void` has
+            # changed the record.
             if view.is_cancelled:
                 self._void(view, number, chunk)
             else:
@@ -264,28 +272,30 @@
                 chunk.vm,
             )
 
-    def _holds(self, job: str, number: int, chunk: jobview.ChunkView) -> bool:
+    def _confirms_hold(
+        self, job: str, number: int, chunk: jobview.ChunkView
+    ) -> bool:
         if not self._membership.is_listed(chunk.vm):
             return False
-        if chunk.vm in self._silent:
+        if chunk.vm in self._unresponsive_vms:
             return False
         query = batchmessages.HoldQuery(job, number, chunk.epoch)
         answer = self._peers.call(chunk.vm, query, _CALL_TIMEOUT_S)
         if isinstance(answer, result.Err):
-            # Each further question in this round would wait as long.
-            self._silent.add(chunk.vm)
+            # Each further query to this VM would time out as well.
+            self._unresponsive_vms.add(chunk.vm)
             return False
         is_same = answer.ok_value.incarnation == chunk.incarnation
         return is_same and bool(answer.ok_value.is_held)
 
     # Ending jobs.
 
-    def _end(self, view: jobview.JobView) -> None:
+    def _finish_if_ended(self, view: jobview.JobView) -> None:
         record = view.record
         if record is None or view.has_to_reload:
             return
         if view.is_cancelled and not view.has_ended():
-            self._end_holders(view)
+            self._fence_holders(view)
         if not view.has_ended():
             return
         outcome = self._finisher.finish(view.entry, record, view.revision)
@@ -294,14 +304,15 @@
         elif outcome == "changed":
             self._table.change(view, view.reload)
 
-    def _end_holders(self, view: jobview.JobView) -> None:
-        # Holders were told to stop and seal what was answered. One that
-        # does not in time is fenced off, so that the job can end.
+    def _fence_holders(self, view: jobview.JobView) -> None:
+        # Holders have been asked to stop and seal the answers so far. A
+        # holder that does not do so in time is fenced, so that the job can
+        # end.
         since_s = view.cancelled_since_s
         if since_s is None:
             return
         vms = len(self._membership.entry_vms())
-        wait_s = _CANCEL_S + _MISSED_REPORTS * vms / REPORTS_PER_S
+        wait_s = _CANCEL_GRACE_S + _MAX_MISSED_REPORTS * vms / REPORTS_PER_S
         if self._clock.monotonic_s() - since_s < wait_s:
             return
         running = self._table.change(view, view.running)
@@ -315,7 +326,9 @@
         self._table.change(view, view.reload)
 
 
-def _load_entry(entry: services.Entry) -> batchrecords.QueueEntry | None:
+def _decode_queue_entry(
+    entry: services.Entry,
+) -> batchrecords.QueueEntry | None:
     try:
         return batchrecords.load(batchrecords.QueueEntry, entry.value)
     except codec.CodecError as error:
--- a/packages/daemon/bulrushdeald/coordinators.py
+++ b/packages/daemon/bulrushdeald/coordinators.py
@@ -1,8 +1,9 @@
-"""Which VMs coordinate which jobs, as seen from this VM.
+"""Chooses the VM that coordinates each bucket of jobs.
 
-Each failure domain has two candidates, so that a VM that runs chunks talks
-to a bounded number of others however large the fleet is. Nothing rests on
-two VMs agreeing: a chunk is only ever given out by compare-and-swap.
+Each failure domain has two candidates, so the number of coordinators that a
+worker reports to does not grow with the fleet. VMs may disagree about the
+coordinator of a bucket without harm, because a chunk is only claimed by
+compare-and-swap.
 """
 
 from collections.abc import Iterable
@@ -15,12 +16,12 @@
 from bulrushdeald import services
 
 _CANDIDATES_PER_DOMAIN = 2
-# A VM that did not answer is passed over for so long.
+# How long a VM that did not answer is skipped.
 _SUSPECT_S = 10.0
 
 
 class Coordinators:
-    """Ranks the coordinators of each bucket of jobs."""
+    """Selects the coordinator of each bucket, as seen from this VM."""
 
     def __init__(
         self, membership: services.Membership, clock: clock_lib.Clock
@@ -31,13 +32,13 @@
         self._suspect_until_s: dict[str, float] = {}
 
     def suspect(self, vm: str) -> None:
-        """Passes a VM over for a while, since it did not answer."""
+        """Skips a VM that did not answer for `_SUSPECT_S` seconds."""
         with self._lock:
             until_s = self._clock.monotonic_s() + _SUSPECT_S
             self._suspect_until_s[vm] = until_s
 
     def candidates(self) -> list[str]:
-        """Returns the VMs that may coordinate, this one among them or not."""
+        """Returns the VMs that may coordinate, suspected ones included."""
         domains: dict[str, list[str]] = {}
         for vm in self._membership.entry_vms():
             if _may_coordinate(vm):
@@ -49,29 +50,29 @@
         ]
 
     def of_bucket(self, bucket: int) -> str:
-        """Returns who coordinates a bucket, empty if there is nobody."""
-        return self._first(bucket, self._answering())
+        """Returns the VM that coordinates a bucket, or "" if there is none."""
+        return self._top_ranked(bucket, self._unsuspected())
 
     def all(self) -> list[str]:
-        """Returns each VM that coordinates a bucket."""
-        answering = self._answering()
-        firsts = {
-            self._first(bucket, answering)
+        """Returns the VMs that coordinate at least one bucket, by name."""
+        unsuspected = self._unsuspected()
+        coordinating = {
+            self._top_ranked(bucket, unsuspected)
             for bucket in range(batchrecords.BUCKETS)
         }
-        return sorted(firsts - {""})
+        return sorted(coordinating - {""})
 
     def own_buckets(self) -> list[int]:
-        """Returns the buckets that fall to this VM."""
+        """Returns the buckets that this VM coordinates."""
         own = self._membership.own().vm
-        answering = self._answering()
+        unsuspected = self._unsuspected()
         return [
             bucket
             for bucket in range(batchrecords.BUCKETS)
-            if self._first(bucket, answering) == own
+            if self._top_ranked(bucket, unsuspected) == own
         ]
 
-    def _answering(self) -> list[str]:
+    def _unsuspected(self) -> list[str]:
         own = self._membership.own().vm
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -81,7 +82,7 @@
                 if vm == own or self._suspect_until_s.get(vm, 0.0) <= now_s
             ]
 
-    def _first(self, bucket: int, names: Iterable[str]) -> str:
+    def _top_ranked(self, bucket: int, names: Iterable[str]) -> str:
         ranked = rendezvous.rank(f"bucket {bucket}", names)
         return ranked[0] if ranked else ""
 
