--- a/packages/daemon/bulrushdeald/batchmessages.py
+++ b/packages/daemon/bulrushdeald/batchmessages.py
@@ -1,4 +1,8 @@
-"""Messages between the VMs that run batch chunks and their coordinators."""
+"""Messages between the VMs that run batch chunks and their coordinators.
+
+The class name of a message is its tag on the wire, and its fields are sent by
+position.
+"""
 
 from typing import Literal, NamedTuple
 
@@ -8,7 +12,14 @@
 
 
 class Holding(NamedTuple):
-    """A chunk that a VM runs, as its record stands."""
+    """A VM's claim on a chunk.
+
+    Attributes:
+        job: The job's ID.
+        chunk: The chunk's number.
+        epoch: The epoch of the claim.
+        revision: The revision of the chunk's record after the claim.
+    """
 
     job: str
     chunk: int
@@ -20,11 +31,12 @@
     """A chunk that a VM no longer runs.
 
     Attributes:
-        job: The job.
-        chunk: Its number.
-        state: As the record stands; `unsure` asks to read it again.
-        epoch: The epoch of the record.
-        revision: The record's revision.
+        job: The job's ID.
+        chunk: The chunk's number.
+        state: The state of the chunk's record. `unsure` if the VM does not
+            know it, so that the coordinator must read the record again.
+        epoch: The epoch of the record; 0 if unknown.
+        revision: The revision of the record; 0 if unknown.
     """
 
     job: str
@@ -35,14 +47,14 @@
 
 
 class WorkReport(NamedTuple):
-    """What a VM runs and wants, told to a coordinator about its jobs.
+    """A VM's report of its chunks and its demand for work to a coordinator.
 
     Attributes:
-        incarnation: The run of the VM's process.
-        holding: The chunks that it runs.
-        ended: The chunks that it ran since the last report.
-        wanted: How many more it would take.
-        models: The models that it has free upstreams for.
+        incarnation: The random name of this run of the VM's process.
+        holding: The chunks that the VM runs.
+        ended: The chunks that ended there since the last report.
+        wanted: How many more chunks it would claim.
+        models: The models for which it has usable upstreams.
     """
 
     incarnation: str
@@ -53,13 +65,16 @@
 
 
 class Offer(NamedTuple):
-    """A chunk that may be claimed; only the platform decides who gets it.
+    """A chunk that a VM may try to claim.
+
+    Several VMs may be offered the same chunk. The compare-and-swap of its
+    record in the platform's key-value service decides which of them gets it.
 
     Attributes:
-        job: The job.
-        chunk: Its number.
+        job: The job's ID.
+        chunk: The chunk's number.
         epoch: The epoch to claim it under.
-        revision: The revision that the record is expected to have.
+        revision: The expected revision of its record; 0 if it has none.
     """
 
     job: str
@@ -73,10 +88,11 @@
 
     Attributes:
         offers: Chunks to claim.
-        stop: Jobs that were cancelled.
-        weight: The batch weights of customers with chunks left, added up.
-        known: Jobs of the report that it coordinates.
-        lost: Chunks of the report that another VM has claimed since.
+        stop: Jobs in the report that were cancelled.
+        weight: The sum of the batch weights of the customers that have chunks
+            left which the reporting VM could run.
+        known: Jobs in the report that this coordinator has loaded.
+        lost: Chunks in the report that another VM has claimed since.
     """
 
     offers: tuple[Offer, ...]
@@ -87,19 +103,19 @@
 
 
 class JobNotice(NamedTuple):
-    """Tells a coordinator of a new or a cancelled job."""
+    """Notifies a coordinator of a new or a cancelled job."""
 
     entry: batchrecords.QueueEntry
 
 
 class StopJob(NamedTuple):
-    """Tells a VM that runs chunks of a job that it was cancelled."""
+    """Asks a VM to stop its chunks of a job that was cancelled."""
 
     job: str
 
 
 class HoldQuery(NamedTuple):
-    """Asks a VM whether it still runs a chunk."""
+    """Asks a VM whether it still holds a chunk under an epoch."""
 
     job: str
     chunk: int
@@ -107,20 +123,25 @@
 
 
 class HoldAnswer(NamedTuple):
-    """Whether the VM runs the chunk, in this run of its process."""
+    """The answer to a `HoldQuery`.
+
+    Attributes:
+        incarnation: The random name of this run of the VM's process.
+        is_held: Whether this process holds the chunk under the epoch.
+    """
 
     incarnation: str
     is_held: bool
 
 
 class CoordinatorPing(NamedTuple):
-    """Asks whether a VM coordinates; any answer will do."""
+    """Checks that a VM answers, so that it can coordinate jobs."""
 
     incarnation: str
 
 
 class Noted(NamedTuple):
-    """The message was taken in."""
+    """Acknowledges a message that needs no other answer."""
 
 
 ANSWERS = (WorkOffers, HoldAnswer, Noted)
--- a/packages/daemon/bulrushdeald/batchrecords.py
+++ b/packages/daemon/bulrushdeald/batchrecords.py
@@ -1,4 +1,4 @@
-"""What the platform's key-value service holds for files and batch jobs."""
+"""Records of files and batch jobs in the platform's key-value service."""
 
 from collections.abc import Mapping
 import hashlib
@@ -14,8 +14,8 @@
 MAX_CHUNK_BYTES = 1_000_000
 MAX_JOB_ITEMS = 88_000
 
-_JOB = re.compile(r"batch_[0-9a-f]{36}")
-_FILE = re.compile(r"file-[0-9a-f]{36}")
+_JOB_ID = re.compile(r"batch_[0-9a-f]{36}")
+_FILE_ID = re.compile(r"file-[0-9a-f]{36}")
 
 JobState = Literal["in_progress", "cancelling", "cancelled", "completed"]
 ChunkState = Literal["running", "open", "done", "void"]
@@ -24,14 +24,19 @@
 
 
 class ChunkInput(NamedTuple):
-    """Some consecutive lines of an input file, as one object."""
+    """A run of consecutive lines of an input file, stored as one object.
+
+    Attributes:
+        ref: The object.
+        items: The number of items in it.
+    """
 
     ref: objects.ObjectRef
     items: int
 
 
 class FileIndex(NamedTuple):
-    """The chunks of an input file in order; an object of its own."""
+    """The chunks of an input file in order, stored as one object."""
 
     chunks: tuple[ChunkInput, ...]
 
@@ -41,16 +46,16 @@
 
     Attributes:
         file: The file's ID.
-        customer: Whose it is.
-        filename: As the caller named it.
-        size_bytes: Its length.
-        items: Its lines.
-        chunk_count: Into how many chunks it was split.
+        customer: The customer that owns the file.
+        filename: The name that the caller gave it.
+        size_bytes: The length of the file.
+        items: The number of items, one for each line.
+        chunk_count: The number of chunks that it was split into.
         digest: SHA-256 of the content in hexadecimal.
-        paths: The paths that its lines ask for.
-        models: The models that its lines ask for.
-        created_wall_s: When it was accepted.
-        index_ref: Where its `FileIndex` is.
+        paths: The request paths of its items.
+        models: The models that its items request.
+        created_wall_s: When it was accepted, in seconds since the epoch.
+        index_ref: The object that holds its `FileIndex`.
     """
 
     file: str
@@ -70,10 +75,11 @@
     """The sealed result of one chunk.
 
     Attributes:
-        ref: The object: lines of items that succeeded, then the others.
+        ref: The object with the lines of items that succeeded, followed by
+            those of the others.
         output_bytes: The length of the first part.
-        completed: Items that succeeded.
-        failed: Items that ended otherwise.
+        completed: The number of items that succeeded.
+        failed: The number of items that ended otherwise.
     """
 
     ref: objects.ObjectRef
@@ -83,7 +89,7 @@
 
 
 class ResultIndex(NamedTuple):
-    """The results of an ended job in order; an object of its own."""
+    """The chunk results of an ended job in order, stored as one object."""
 
     chunks: tuple[ChunkResult, ...]
 
@@ -93,24 +99,25 @@
 
     Attributes:
         job: The job's ID.
-        customer: Whose it is.
+        customer: The customer that owns the job.
         input_file: The ID of its input file.
-        path: The path that each item asks for.
-        models: The models that its items ask for.
+        path: The request path of all its items.
+        models: The models that its items request.
         window: The completion window as the caller wrote it.
-        metadata: As the caller gave it.
-        digest: Hash of what was asked, to tell a resent job from another.
-        created_wall_s: When it was accepted.
-        deadline_wall_s: When items that have not run are given up.
-        items: How many there are.
-        chunk_count: In how many chunks.
-        index_ref: Where the input's `FileIndex` is.
-        state: It never leaves `cancelled` or `completed`.
+        metadata: The caller's metadata, unchanged.
+        digest: Hash of the request, to tell a resent job from another one.
+        created_wall_s: When it was accepted, in seconds since the epoch.
+        deadline_wall_s: When items that have not run fail as expired.
+        items: The number of items.
+        chunk_count: The number of chunks.
+        index_ref: The object that holds the input's `FileIndex`.
+        state: The state; `cancelled` and `completed` are final.
         cancelling_wall_s: When it was cancelled; 0 if it was not.
-        ended_wall_s: When its last item ended.
-        completed: Items that succeeded, known when it has ended.
-        failed: Items that ended otherwise, known when it has ended.
-        results: Where the `ResultIndex` is, when it has ended.
+        ended_wall_s: When it ended; 0 before that.
+        completed: The number of items that succeeded; 0 before it ended.
+        failed: The number of items that ended otherwise; 0 before it ended.
+        results: The object that holds its `ResultIndex`; `None` before it
+            ended.
     """
 
     job: str
@@ -135,7 +142,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether no item of it will ever run again."""
+        """Whether the job is in a final state and runs no more items."""
         return self.state in ("cancelled", "completed")
 
 
@@ -144,13 +151,13 @@
 
     Attributes:
         job: The job's ID.
-        customer: Whose it is.
-        models: The models that its items ask for.
-        deadline_wall_s: When it is due.
-        items: How many there are.
-        chunk_count: In how many chunks.
+        customer: The customer that owns the job.
+        models: The models that its items request.
+        deadline_wall_s: The job's deadline, in seconds since the epoch.
+        items: The number of items.
+        chunk_count: The number of chunks.
         written_wall_s: When this entry was written.
-        is_cancelled: Whether a cancellation waits to be carried out.
+        is_cancelled: Whether the job was cancelled and has not ended yet.
     """
 
     job: str
@@ -164,16 +171,21 @@
 
 
 class ChunkRecord(NamedTuple):
-    """Who runs a chunk, or its result, under `chunks/JOB/N`.
+    """The holder of a chunk, or its result, under `chunks/JOB/N`.
+
+    A chunk that was never claimed has no record.
 
     Attributes:
-        state: `running` under `epoch` by `vm`; `open` if it was given back;
-            `done` with its result; `void` if its job was cancelled.
-        epoch: Raised by each claim; an older holder can never end it.
-        vm: The holder, or who held it last.
-        incarnation: The run of the holder's process.
-        result: The result, when it is done.
-        partial: Results of items that need not run again, when it is open.
+        state: `running` at `vm`; `open` if its holder gave it back; `done` if
+            it has its result; `void` if its job was cancelled.
+        epoch: A fencing number that each claim raises, so that no earlier
+            holder can end the chunk.
+        vm: The VM that holds the chunk or held it last; empty if the
+            coordinator marked the chunk as void.
+        incarnation: The random name of the run of that VM's process.
+        result: The result, if the chunk is done.
+        partial: The stored answers of an earlier holder, whose items need not
+            run again.
     """
 
     state: ChunkState
@@ -185,15 +197,22 @@
 
 
 def dump(record: Any) -> bytes:
-    """Returns a record as JSON, which operators can read."""
+    """Encodes a record as JSON, so that operators can read it."""
     return json.dumps(codec.to_object(record), separators=(",", ":")).encode()
 
 
 def load(kind: type[M], value: bytes) -> M:
-    """Returns the record in `value`.
+    """Decodes a record from JSON.
+
+    Args:
+        kind: The record's type.
+        value: The JSON text.
+
+    Returns:
+        The record.
 
     Raises:
-        codec.CodecError: It is no such record.
+        codec.CodecError: The value is not a record of this type.
     """
     try:
         plain = json.loads(value)
@@ -203,13 +222,13 @@
 
 
 def is_job(name: str) -> bool:
-    """Tells whether a caller's text can be a job's ID."""
-    return bool(_JOB.fullmatch(name))
+    """Returns whether a text has the form of a job's ID."""
+    return bool(_JOB_ID.fullmatch(name))
 
 
 def is_file(name: str) -> bool:
-    """Tells whether a caller's text can be an input file's ID."""
-    return bool(_FILE.fullmatch(name))
+    """Returns whether a text has the form of an input file's ID."""
+    return bool(_FILE_ID.fullmatch(name))
 
 
 def file_key(file: str) -> str:
@@ -223,28 +242,31 @@
 
 
 def chunk_prefix(job: str) -> str:
-    """Returns what the keys of a job's chunks begin with."""
+    """Returns the prefix of the keys of a job's chunk records."""
     return f"chunks/{job}/"
 
 
 def chunk_key(job: str, chunk: int) -> str:
-    """Returns the key of a chunk's record; they sort by number."""
+    """Returns the key of a chunk's record; the keys sort by number."""
     return f"{chunk_prefix(job)}{chunk:05d}"
 
 
 def chunk_of(key: str) -> int:
-    """Returns the number of the chunk that a key is for."""
+    """Returns the chunk's number from the key of its record."""
     return int(key.rpartition("/")[2])
 
 
 def bucket_of(customer: str) -> int:
-    """Returns the bucket of a customer's jobs; one VM coordinates each."""
+    """Returns the bucket of a customer's jobs.
+
+    One VM coordinates all jobs of a bucket.
+    """
     digest = hashlib.blake2b(customer.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") % BUCKETS
 
 
 def queue_prefix(bucket: int) -> str:
-    """Returns what the keys of a bucket's queue begin with."""
+    """Returns the prefix of the queue keys of a bucket."""
     return f"queue/{bucket:02d}/"
 
 
@@ -254,5 +276,8 @@
 
 
 def customer_tag(customer: str) -> str:
-    """Returns what a customer's IDs begin with, so that they are listed."""
+    """Returns the customer's tag, with which IDs of its files and jobs begin.
+
+    Listings find all of a customer's files or jobs by this prefix.
+    """
     return hashlib.sha256(customer.encode()).hexdigest()[:12]
--- a/packages/daemon/bulrushdeald/chunkrun.py
+++ b/packages/daemon/bulrushdeald/chunkrun.py
@@ -1,4 +1,4 @@
-"""The items of one claimed chunk while they run, and their results."""
+"""The state of one claimed chunk: its items and their results."""
 
 from collections.abc import Callable, Iterable
 import threading
@@ -13,11 +13,11 @@
 
 
 class Answer(NamedTuple):
-    """How an item ended.
+    """The outcome of an item.
 
     Attributes:
-        line: Its one result line.
-        usage: What is counted for it, once the result counts.
+        line: The item's only result line.
+        usage: The usage event to record when the chunk ends.
     """
 
     line: results.Line
@@ -25,7 +25,13 @@
 
 
 class PartialLine(NamedTuple):
-    """A result line kept for the chunk's next holder."""
+    """A result line stored for the chunk's next holder.
+
+    Attributes:
+        item: The item's index in the chunk.
+        is_success: Whether the line belongs to the output file.
+        text: The line as JSON, without a line end.
+    """
 
     item: int
     is_success: bool
@@ -45,8 +51,15 @@
         ]
 
 
-class Sealed(NamedTuple):
-    """A chunk's whole result before it is stored."""
+class EncodedResult(NamedTuple):
+    """A chunk's complete result, encoded for the stores.
+
+    Attributes:
+        data: The lines of items that succeeded, then those of the others.
+        output_bytes: The length of the first part.
+        completed: The number of items that succeeded.
+        failed: The number of items that ended otherwise.
+    """
 
     data: bytes
     output_bytes: int
@@ -54,24 +67,41 @@
     failed: int
 
     def chunk_result(self, ref: objects.ObjectRef) -> batchrecords.ChunkResult:
-        """Returns the result once it is stored."""
+        """Returns the result's record, given where `data` is stored."""
         return batchrecords.ChunkResult(
             ref, self.output_bytes, self.completed, self.failed
         )
 
 
-def seal(lines: Iterable[results.Line]) -> Sealed:
-    """Joins result lines: successes, then the others, each in order."""
-    good: list[bytes] = []
-    bad: list[bytes] = []
+def encode_lines(lines: Iterable[results.Line]) -> EncodedResult:
+    """Joins result lines: successes first, each part in the given order."""
+    successes: list[bytes] = []
+    failures: list[bytes] = []
     for line in lines:
-        (good if line.is_success else bad).append(line.data + b"\n")
-    output = b"".join(good)
-    return Sealed(output + b"".join(bad), len(output), len(good), len(bad))
+        (successes if line.is_success else failures).append(line.data + b"\n")
+    output = b"".join(successes)
+    return EncodedResult(
+        output + b"".join(failures), len(output), len(successes), len(failures)
+    )
 
 
 class ChunkRun:
-    """Hands out the items of one chunk and gathers their answers."""
+    """Hands out the items of one chunk and collects their answers.
+
+    Safe for threads, except for the public attributes.
+
+    Attributes:
+        job: The chunk's job.
+        holding: The claim that the chunk runs under.
+        items: The chunk's items.
+        tries: The number of failed tries of each item.
+        confirmed_s: When a coordinator last confirmed that the chunk runs
+            here, on the monotonic clock.
+        progress_s: When an item last ended or was seen at an upstream, on the
+            monotonic clock.
+        yielded_at: For each item that yielded to online work, the upstream on
+            which it can resume.
+    """
 
     def __init__(
         self,
@@ -83,27 +113,24 @@
         self.holding = holding
         self.items = items
         self.tries = [0] * len(items)
-        # When a coordinator last spoke of the chunk as running here.
         self.confirmed_s = 0.0
-        # When an item last ended, or ran at an upstream.
         self.progress_s = 0.0
-        # Where an item yielded, so that it can go on from where it stood.
         self.yielded_at: dict[int, str] = {}
         self._lines: dict[int, results.Line] = {}
         self._usage: list[services.UsageEvent] = []
         self._pending = list(range(len(items)))[::-1]
-        self._later: dict[int, float] = {}
+        self._delayed: dict[int, float] = {}
         self._cancels: dict[int, Callable[[], None] | None] = {}
         self._lock = threading.Lock()
         self._is_stopped = False
 
     @property
     def is_stopped(self) -> bool:
-        """Whether no further item is handed out."""
+        """Whether `stop` was called, so that no more items are handed out."""
         return self._is_stopped
 
     def restore(self, partial: Partial) -> None:
-        """Takes over the results of an earlier holder."""
+        """Adds the results that an earlier holder stored."""
         with self._lock:
             for line in partial.lines:
                 self._lines[line.item] = results.Line(
@@ -114,26 +141,29 @@
             ]
 
     def next(self, now_s: float) -> int | None:
-        """Returns an item to run now; it ends by `finish` or `requeue`."""
+        """Hands out an item that is due, if there is one.
+
+        The caller must pass the item to `finish` or `requeue` afterwards.
+        """
         with self._lock:
             if self._is_stopped:
                 return None
-            item = self._pop(now_s)
+            item = self._pop_due(now_s)
             if item is not None:
                 self._cancels[item] = None
             return item
 
-    def _pop(self, now_s: float) -> int | None:
+    def _pop_due(self, now_s: float) -> int | None:
         if self._pending:
             return self._pending.pop()
-        for item, due_s in self._later.items():
+        for item, due_s in self._delayed.items():
             if due_s <= now_s:
-                del self._later[item]
+                del self._delayed[item]
                 return item
         return None
 
     def on_cancel(self, item: int, cancel: Callable[[], None]) -> None:
-        """Keeps how to end a running item; calls it if it has to end."""
+        """Sets how to cancel a running item; cancels at once after `stop`."""
         with self._lock:
             if not self._is_stopped:
                 self._cancels[item] = cancel
@@ -141,7 +171,11 @@
         cancel()
 
     def finish(self, item: int, answer: Answer) -> bool:
-        """Keeps an item's one answer; returns whether all have ended."""
+        """Records an item's answer, unless it has one already.
+
+        Returns:
+            Whether the chunk has ended.
+        """
         with self._lock:
             self._cancels.pop(item, None)
             if item not in self._lines:
@@ -150,17 +184,33 @@
             return self._has_ended()
 
     def requeue(self, item: int, due_s: float) -> bool:
-        """Gives an item back unrun; returns whether all have ended."""
+        """Puts an item back to be run again.
+
+        Args:
+            item: The item.
+            due_s: When it may run, on the monotonic clock. An item that
+                yielded is due at once.
+
+        Returns:
+            Whether the chunk has ended.
+        """
         with self._lock:
             self._cancels.pop(item, None)
             if item in self.yielded_at:
                 self._pending.append(item)
             else:
-                self._later[item] = due_s
+                self._delayed[item] = due_s
             return self._has_ended()
 
     def stop(self, cancel_running: bool) -> bool:
-        """Hands out no more items; returns whether all have ended."""
+        """Stops handing out items.
+
+        Args:
+            cancel_running: Whether to cancel the items that run.
+
+        Returns:
+            Whether the chunk has ended.
+        """
         with self._lock:
             self._is_stopped = True
             cancels: Iterable[Callable[[], None] | None] = ()
@@ -179,22 +229,22 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether each item has its answer."""
+        """Whether each item has an answer."""
         with self._lock:
             return len(self._lines) == len(self.items)
 
     def waiting(self) -> int:
-        """Returns how many items have not been handed out."""
+        """Returns how many items are due and not handed out."""
         with self._lock:
             return len(self._pending)
 
     def running(self) -> int:
-        """Returns how many items are handed out."""
+        """Returns how many items are handed out and have not ended."""
         with self._lock:
             return len(self._cancels)
 
     def dump(self) -> Any:
-        """Returns the state for people."""
+        """Returns the state for operators."""
         return {
             "chunk": self.holding,
             "waiting": self.waiting(),
@@ -202,17 +252,19 @@
         }
 
     def ended(self) -> int:
-        """Returns how many items have their answer."""
+        """Returns how many items have an answer."""
         with self._lock:
             return len(self._lines)
 
     def placed(self) -> int:
-        """Returns how many items run at an upstream."""
+        """Returns how many items have an open connection to an upstream."""
         with self._lock:
-            return sum(1 for one in self._cancels.values() if one is not None)
+            return sum(
+                1 for cancel in self._cancels.values() if cancel is not None
+            )
 
     def usage(self) -> tuple[services.UsageEvent, ...]:
-        """Returns what is to be counted when the result counts."""
+        """Returns the usage events of the answers."""
         with self._lock:
             return tuple(self._usage)
 
@@ -226,8 +278,8 @@
                 )
             )
 
-    def seal(self) -> Sealed:
-        """Returns the result: successes, then the others, in item order."""
+    def encode_result(self) -> EncodedResult:
+        """Returns the result: successes first, each part in item order."""
         with self._lock:
             lines = [line for _, line in sorted(self._lines.items())]
-        return seal(lines)
+        return encode_lines(lines)
--- a/packages/daemon/bulrushdeald/finishing.py
+++ b/packages/daemon/bulrushdeald/finishing.py
@@ -1,4 +1,4 @@
-"""Ends batch jobs whose chunks have all ended."""
+"""Completes batch jobs whose chunks have all ended."""
 
 import secrets
 from typing import Literal
@@ -16,15 +16,16 @@
 
 _log = logs.Log("finishing")
 
-# A queue entry is written before its job; one without a job this old was
-# left by a VM that was lost in between, before it acknowledged the job.
+# A queue entry is written before its job's record. An entry this old without
+# a job comes from a VM that was lost between the two writes, before it
+# acknowledged the job.
 _ORPHAN_S = 600.0
 
 Outcome = Literal["ended", "changed", "later"]
 
 
 class Finisher:
-    """Moves jobs to their last state and cleans up behind them."""
+    """Moves jobs to their final state and deletes their working records."""
 
     def __init__(
         self,
@@ -44,21 +45,34 @@
         record: batchrecords.JobRecord,
         revision: int,
     ) -> Outcome:
-        """Ends a job if its records agree that it has ended."""
+        """Ends a job if its stored records confirm that all chunks have ended.
+
+        Args:
+            entry: The job's queue entry.
+            record: The job's record.
+            revision: The revision of the job's record.
+
+        Returns:
+            `ended`; `changed` if the job's records must be read again; `later`
+            if a service did not answer and the call should be repeated.
+        """
         if not record.has_ended:
-            outcome = self._decide(record, revision)
+            outcome = self._end_job(record, revision)
             if outcome != "ended":
                 return outcome
         return self._clean_up(entry)
 
-    def _decide(self, record: batchrecords.JobRecord, revision: int) -> Outcome:
-        chunks = self._read_chunks(record.job)
+    def _end_job(
+        self, record: batchrecords.JobRecord, revision: int
+    ) -> Outcome:
+        chunks = self._read_chunk_records(record.job)
         if chunks is None:
             return "later"
         if record.state == "cancelling":
-            chunks = self._keep_partials(record.job, chunks)
-        # A chunk taken back from a silent holder, of a job cancelled since,
-        # is free in memory only.
+            chunks = self._adopt_partials(record.job, chunks)
+        # A chunk that was taken back from a silent holder before the job was
+        # cancelled is free in the coordinator's memory only, while its record
+        # still says `running`.
         if any(chunk.state == "running" for chunk in chunks.values()):
             return "changed"
         done = [
@@ -66,11 +80,11 @@
             for _, chunk in sorted(chunks.items())
             if chunk.result is not None
         ]
-        is_whole = len(done) == record.chunk_count
-        if not is_whole and record.state != "cancelling":
+        is_complete = len(done) == record.chunk_count
+        if not is_complete and record.state != "cancelling":
             return "changed"
-        # The results are listed in one object: as records of their own they
-        # would fill the platform's service within days.
+        # The results are listed in a single object, because one record for
+        # each would fill the platform's key-value service within days.
         index = batchrecords.ResultIndex(tuple(done))
         name = f"{record.job}/results.{secrets.token_hex(6)}"
         ref = self._replicas.put(name, batchrecords.dump(index))
@@ -84,8 +98,8 @@
             failed=sum(chunk.failed for chunk in done),
             results=ref.ok_value,
         )
-        # A cancellation and this completion race: the platform's service
-        # takes the first and the other finds another revision.
+        # This write races with a cancellation. The key-value service accepts
+        # the first of them, and the other fails on the revision.
         put = self._keyvalue.put(
             batchrecords.job_key(record.job),
             batchrecords.dump(ended),
@@ -98,7 +112,7 @@
             return "changed"
         return "changed" if put.err_value.kind == "unknown" else "later"
 
-    def _read_chunks(
+    def _read_chunk_records(
         self, job: str
     ) -> dict[int, batchrecords.ChunkRecord] | None:
         entries = self._keyvalue.list(batchrecords.chunk_prefix(job))
@@ -115,32 +129,36 @@
             _log.error("Job %s has an unreadable chunk: %s.", job, error)
             return None
 
-    def _keep_partials(
+    def _adopt_partials(
         self, job: str, chunks: dict[int, batchrecords.ChunkRecord]
     ) -> dict[int, batchrecords.ChunkRecord]:
-        # A holder that stopped gracefully left answers that the next was to
-        # take over; now there is no next, and they are the result.
+        # A holder that stopped gracefully stored its answers for the chunk's
+        # next holder. A cancelled job has no next holder, so these answers
+        # become the chunk's result.
         kept = dict(chunks)
         for number, chunk in chunks.items():
             if chunk.state != "open" or chunk.partial is None:
                 continue
             data = self._replicas.get(chunk.partial)
             if isinstance(data, result.Err):
-                _log.warning("%s: no copy.", chunk.partial.name)
+                _log.warning(
+                    "Partial result %s: no copy could be read.",
+                    chunk.partial.name,
+                )
                 continue
             partial = batchrecords.load(chunkrun.Partial, data.ok_value)
-            sealed = chunkrun.seal(partial.result_lines())
+            encoded = chunkrun.encode_lines(partial.result_lines())
             name = f"{job}/{number}.{chunk.epoch}.cancelled"
-            ref = self._replicas.put(name, sealed.data)
+            ref = self._replicas.put(name, encoded.data)
             if isinstance(ref, result.Ok):
                 kept[number] = chunk._replace(
-                    result=sealed.chunk_result(ref.ok_value)
+                    result=encoded.chunk_result(ref.ok_value)
                 )
         return kept
 
     def _clean_up(self, entry: batchrecords.QueueEntry) -> Outcome:
-        # The queue entry goes last: while it is there another coordinator
-        # finds the job and cleans up what a lost one left.
+        # The queue entry is deleted last. If this coordinator is lost before
+        # that, another one finds the entry and completes the cleanup.
         chunks = self._keyvalue.list(batchrecords.chunk_prefix(entry.job))
         if isinstance(chunks, result.Err):
             return "later"
@@ -164,7 +182,7 @@
         return "ended" if isinstance(deleted, result.Ok) else "later"
 
     def void(self, job: str, chunk: int, epoch: int, revision: int) -> None:
-        """Fences the holder of a cancelled job's chunk."""
+        """Marks a cancelled job's chunk as void, which fences its holder."""
         record = batchrecords.ChunkRecord("void", epoch + 1, "", "")
         self._keyvalue.put(
             batchrecords.chunk_key(job, chunk),
--- a/packages/daemon/bulrushdeald/items.py
+++ b/packages/daemon/bulrushdeald/items.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at an upstream and judges how it ended."""
+"""Runs batch items at upstreams and interprets the outcomes."""
 
 from collections.abc import Callable
 import json
@@ -12,27 +12,28 @@
 from bulrushdeald import results
 from bulrushdeald import services
 
-# A crash costs an upstream, so an item gets few tries.
+# Kept low, because an item that crashes upstreams costs one per try.
 MAX_TRIES = 3
-# A thread that waits for a slot of one model runs nothing of another.
-_ACQUIRE_S = 5.0
-_RETRY_S = 1.0
+# How long to wait for a slot. Kept short, because a thread that waits for a
+# slot of one model cannot run items of another.
+_SLOT_WAIT_S = 5.0
+_RETRY_DELAY_S = 1.0
 _MAX_ANSWER_BYTES = 8_000_000
-# Engines that resume streams know a stream by this header: one that was
-# cancelled goes on where it stood. Others ignore it and begin anew.
+# Identifies a stream to engines that can resume one: a cancelled stream then
+# continues where it stopped. Other engines ignore the header and start over.
 STREAM_HEADER = "X-Stream-Id"
-_RETRIED = frozenset((408, 429, 500, 502, 503, 504))
-_TOO_MANY = 429
+_RETRIED_STATUSES = frozenset((408, 429, 500, 502, 503, 504))
+_TOO_MANY_REQUESTS = 429
 _FIRST_SERVER_ERROR = 500
 
 
-class Again(NamedTuple):
-    """The item has to run again.
+class Retry(NamedTuple):
+    """An item has to run again.
 
     Attributes:
-        delay_s: Not before this time has passed.
-        is_failure: Whether this counts as a failed try.
-        refusal: What the item gets if it has no tries left.
+        delay_s: The least time to wait before the next try.
+        is_failure: Whether this try counts as failed.
+        refusal: The item's error if it has no tries left.
     """
 
     delay_s: float
@@ -41,14 +42,14 @@
 
 
 class _Reply(NamedTuple):
-    """An upstream's whole answer."""
+    """An upstream's complete answer."""
 
     status: int
     body: bytes
 
 
 class Runner:
-    """Runs items, each on the thread that calls."""
+    """Runs items on the calling thread."""
 
     def __init__(
         self,
@@ -63,57 +64,59 @@
         self._timeout_s = timeout_s
 
     def run(self, run: chunkrun.ChunkRun, number: int) -> bool:
-        """Runs one item; returns whether the chunk has ended with it."""
+        """Runs one item and returns whether its chunk has ended."""
         now_s = self._clock.wall_s()
         if now_s >= run.job.deadline_wall_s:
-            return run.finish(number, self._fail(run, number, _expired()))
+            return run.finish(
+                number, self._error_answer(run, number, _expired_refusal())
+            )
         outcome = self._attempt(run, number)
         if isinstance(outcome, chunkrun.Answer):
             return run.finish(number, outcome)
         run.tries[number] += outcome.is_failure
         if run.tries[number] >= MAX_TRIES:
-            answer = self._fail(run, number, outcome.refusal)
+            answer = self._error_answer(run, number, outcome.refusal)
             return run.finish(number, answer)
         due_s = self._clock.monotonic_s() + outcome.delay_s
         return run.requeue(number, due_s)
 
     def _attempt(
         self, run: chunkrun.ChunkRun, number: int
-    ) -> chunkrun.Answer | Again:
+    ) -> chunkrun.Answer | Retry:
         call = run.items[number].call
-        work = completions.work(call, run.job.customer, "batch", _ACQUIRE_S)
+        work = completions.work(call, run.job.customer, "batch", _SLOT_WAIT_S)
         resumes_at = run.yielded_at.pop(number, "")
         slot = self._router.acquire(work._replace(resumes_at=resumes_at))
         if isinstance(slot, result.Err):
-            return self._refused(run, number, slot.err_value)
+            return self._handle_refusal(run, number, slot.err_value)
         return self._send(run, number, slot.ok_value)
 
-    def _refused(
+    def _handle_refusal(
         self, run: chunkrun.ChunkRun, number: int, refusal: services.Refusal
-    ) -> chunkrun.Answer | Again:
-        # A request that crashes upstreams has had its final answer, and one
-        # that is wrong will not get right; all else may pass.
-        is_wrong = refusal.status < _FIRST_SERVER_ERROR
+    ) -> chunkrun.Answer | Retry:
+        # A quarantined request, which crashes upstreams, and an invalid one
+        # fail for good. All other refusals may be temporary.
+        is_invalid = refusal.status < _FIRST_SERVER_ERROR
         if refusal.code == "quarantined" or (
-            is_wrong and refusal.status != _TOO_MANY
+            is_invalid and refusal.status != _TOO_MANY_REQUESTS
         ):
-            return self._fail(run, number, refusal)
-        return Again(max(refusal.retry_after_s, _RETRY_S), False, refusal)
+            return self._error_answer(run, number, refusal)
+        return Retry(max(refusal.retry_after_s, _RETRY_DELAY_S), False, refusal)
 
     def _send(
         self, run: chunkrun.ChunkRun, number: int, slot: services.Slot
-    ) -> chunkrun.Answer | Again:
+    ) -> chunkrun.Answer | Retry:
         outcome: services.Outcome = "crashed"
         try:
             reply = self._exchange(run, number, slot)
             if isinstance(reply, result.Err):
-                outcome = _outcome(run, reply.err_value)
+                outcome = _slot_outcome(run, reply.err_value)
                 if outcome == "yielded":
                     run.yielded_at[number] = slot.upstream.upstream
-                return _again(reply.err_value)
+                return _retry_for_error(reply.err_value)
             status = reply.ok_value.status
-            outcome = "refused" if status in _RETRIED else "ok"
-            return self._judge(run, number, slot, reply.ok_value)
+            outcome = "refused" if status in _RETRIED_STATUSES else "ok"
+            return self._handle_reply(run, number, slot, reply.ok_value)
         finally:
             slot.release(outcome)
 
@@ -126,8 +129,8 @@
         call = run.items[number].call
 
         def on_open(cancel: Callable[[], None]) -> None:
-            # Online work that needs the slot, or the end of the job, closes
-            # the stream; the engine stops the run then.
+            # The stream is closed when online work needs the slot or when the
+            # job is cancelled. The engine then stops running the item.
             slot.on_yield(cancel)
             run.on_cancel(number, cancel)
 
@@ -155,52 +158,56 @@
             answer.ok_value.close()
         return result.Ok(_Reply(answer.ok_value.status, bytes(body)))
 
-    def _judge(
+    def _handle_reply(
         self,
         run: chunkrun.ChunkRun,
         number: int,
         slot: services.Slot,
         reply: _Reply,
-    ) -> chunkrun.Answer | Again:
+    ) -> chunkrun.Answer | Retry:
         try:
             body = json.loads(reply.body)
         except ValueError:
             refusal = services.Refusal(
                 502, "bad_answer", "The upstream's answer is not JSON.", "ran"
             )
-            return Again(_RETRY_S, True, refusal)
+            return Retry(_RETRY_DELAY_S, True, refusal)
         is_last = run.tries[number] + 1 >= MAX_TRIES
-        if reply.status in _RETRIED and not is_last:
+        if reply.status in _RETRIED_STATUSES and not is_last:
             refusal = services.Refusal(
                 reply.status, "upstream_error", "The upstream failed.", "ran"
             )
-            # An engine that is full has not tried the item.
-            return Again(_RETRY_S, reply.status != _TOO_MANY, refusal)
+            # An engine answers 429 when it is full and has not run the item.
+            return Retry(
+                _RETRY_DELAY_S, reply.status != _TOO_MANY_REQUESTS, refusal
+            )
         item = run.items[number]
         line = results.answer_line(
             run.job.job,
             item.custom_id,
-            _number(run, number),
+            _line_number(run, number),
             reply.status,
             body,
         )
         outcome = "ok" if line.is_success else "refused"
-        usage = self._usage(run, number, slot.upstream.upstream, outcome, body)
+        usage = self._usage_event(
+            run, number, slot.upstream.upstream, outcome, body
+        )
         return chunkrun.Answer(line, usage)
 
-    def _fail(
+    def _error_answer(
         self, run: chunkrun.ChunkRun, number: int, refusal: services.Refusal
     ) -> chunkrun.Answer:
         line = results.error_line(
             run.job.job,
             run.items[number].custom_id,
-            _number(run, number),
+            _line_number(run, number),
             refusal,
         )
-        usage = self._usage(run, number, "", refusal.code, None)
+        usage = self._usage_event(run, number, "", refusal.code, None)
         return chunkrun.Answer(line, usage)
 
-    def _usage(
+    def _usage_event(
         self,
         run: chunkrun.ChunkRun,
         number: int,
@@ -218,8 +225,8 @@
             upstream,
             run.items[number].call.model,
             outcome,
-            _count(counts, "prompt_tokens"),
-            _count(counts, "completion_tokens"),
+            _token_count(counts, "prompt_tokens"),
+            _token_count(counts, "completion_tokens"),
         )
 
 
@@ -229,27 +236,28 @@
     return {"Content-Type": "application/json", STREAM_HEADER: stream}
 
 
-def _number(run: chunkrun.ChunkRun, number: int) -> int:
+def _line_number(run: chunkrun.ChunkRun, number: int) -> int:
     return run.holding.chunk * 1000 + number
 
 
-def _count(counts: dict[str, Any], name: str) -> int:
+def _token_count(counts: dict[str, Any], name: str) -> int:
     value = counts.get(name)
     return value if type(value) is int else 0
 
 
-def _again(error: services.UpstreamError) -> Again:
+def _retry_for_error(error: services.UpstreamError) -> Retry:
     if error.kind == "cancelled":
-        # Online work took the slot: not the item's fault, however often.
+        # Online work took the slot, or the chunk was stopped. Neither is the
+        # item's fault, so this never counts as a failed try.
         refusal = services.Refusal(503, "cancelled", error.message, error.ran)
-        return Again(0.0, False, refusal)
+        return Retry(0.0, False, refusal)
     refusal = services.Refusal(
         502, "upstream_failed", f"Each try failed: {error.kind}.", error.ran
     )
-    return Again(_RETRY_S, error.kind != "unreachable", refusal)
+    return Retry(_RETRY_DELAY_S, error.kind != "unreachable", refusal)
 
 
-def _outcome(
+def _slot_outcome(
     run: chunkrun.ChunkRun, error: services.UpstreamError
 ) -> services.Outcome:
     if error.kind == "cancelled":
@@ -257,7 +265,7 @@
     return "refused" if error.kind == "unreachable" else "crashed"
 
 
-def _expired() -> services.Refusal:
+def _expired_refusal() -> services.Refusal:
     return services.Refusal(
         504, "batch_expired", "The completion window has passed.", "unknown"
     )
--- a/packages/daemon/bulrushdeald/retention.py
+++ b/packages/daemon/bulrushdeald/retention.py
@@ -1,4 +1,4 @@
-"""Deletes the records of files and jobs when their time has come."""
+"""Deletes the records of files and jobs after their retention time."""
 
 from typing import NamedTuple
 
@@ -14,11 +14,12 @@
 
 
 class Expiry(NamedTuple):
-    """When a record is to go, under `expiry/BUCKET/ID`.
+    """Schedules a record's deletion, stored under `expiry/BUCKET/ID`.
 
     Attributes:
         key: The record's key.
-        ended_wall_s: From when on it is kept for the retention time.
+        ended_wall_s: When the retention time began, in seconds since the
+            epoch.
     """
 
     key: str
@@ -26,7 +27,7 @@
 
 
 class Retention:
-    """Keeps an index of records by customer bucket."""
+    """Keeps an index of expiring records by bucket of customers."""
 
     def __init__(
         self,
@@ -39,18 +40,27 @@
         self._retention_s = retention_s
 
     def add(self, customer: str, name: str, key: str) -> bool:
-        """Notes that a record may go after the retention time from now."""
+        """Schedules a record's deletion; its retention time starts now.
+
+        Args:
+            customer: The record's customer, which determines the bucket.
+            name: The ID of the file or job.
+            key: The record's key.
+
+        Returns:
+            Whether the record is scheduled, now or earlier.
+        """
         expiry = Expiry(key, self._clock.wall_s())
         put = self._keyvalue.put(
-            _prefix(batchrecords.bucket_of(customer)) + name,
+            _expiry_prefix(batchrecords.bucket_of(customer)) + name,
             batchrecords.dump(expiry),
             0,
         )
         return isinstance(put, result.Ok) or put.err_value.kind == "conflict"
 
     def sweep(self, bucket: int) -> int:
-        """Deletes a bucket's records that expired; returns how many."""
-        entries = self._keyvalue.list(_prefix(bucket))
+        """Deletes a bucket's expired records and returns their number."""
+        entries = self._keyvalue.list(_expiry_prefix(bucket))
         if isinstance(entries, result.Err):
             return 0
         before_s = self._clock.wall_s() - self._retention_s
@@ -62,7 +72,8 @@
                 _log.error("%s is unreadable: %s.", entry.key, error)
                 continue
             if expiry.ended_wall_s < before_s and self._delete(expiry.key):
-                # The index goes last: a record is never forgotten.
+                # The index entry is deleted last, so that a record cannot be
+                # left without one.
                 self._keyvalue.delete(entry.key, entry.revision)
                 count += 1
         return count
@@ -77,5 +88,5 @@
         return isinstance(deleted, result.Ok)
 
 
-def _prefix(bucket: int) -> str:
+def _expiry_prefix(bucket: int) -> str:
     return f"expiry/{bucket:02d}/"
--- a/packages/daemon/bulrushdeald/sealing.py
+++ b/packages/daemon/bulrushdeald/sealing.py
@@ -1,4 +1,8 @@
-"""Seals the results of chunks, so that each is readable exactly once."""
+"""Seals chunks: stores their results and records them as done.
+
+A chunk's record is changed by compare-and-swap on the claim's revision, so of
+all holders of a chunk at most one can make its result readable.
+"""
 
 from typing import NamedTuple
 
@@ -16,11 +20,11 @@
 
 
 class Sealing(NamedTuple):
-    """A chunk whose items have ended and whose result is not yet readable.
+    """A chunk whose items have ended, but that is not yet recorded as done.
 
     Attributes:
         run: The chunk.
-        result: Its result in the stores; `None` before it is there.
+        result: The stored result; `None` until it is stored.
     """
 
     run: chunkrun.ChunkRun
@@ -28,7 +32,7 @@
 
 
 class Sealer:
-    """Stores results and records them."""
+    """Stores the results of chunks and records them."""
 
     def __init__(
         self,
@@ -45,32 +49,37 @@
         self._incarnation = incarnation
 
     def step(self, sealing: Sealing) -> Sealing | batchmessages.Ended:
-        """Tries to end a chunk; what it returns is to be tried again."""
+        """Tries to store and record a chunk's result.
+
+        Returns:
+            The `Ended` message for the coordinator, or a `Sealing` to pass to
+            the next call if the stores or the platform did not answer.
+        """
         stored = sealing.result or self._store(sealing.run)
         if stored is None:
             return sealing
-        return self._record(sealing._replace(result=stored), stored)
+        return self._record_done(sealing._replace(result=stored), stored)
 
     def _store(self, run: chunkrun.ChunkRun) -> batchrecords.ChunkResult | None:
-        sealed = run.seal()
+        encoded = run.encode_result()
         holding = run.holding
-        # The epoch in the name keeps an older holder's result apart.
+        # The epoch keeps results of different holders apart.
         name = f"{holding.job}/{holding.chunk}.{holding.epoch}"
-        ref = self._replicas.put(name, sealed.data)
+        ref = self._replicas.put(name, encoded.data)
         if isinstance(ref, result.Err):
             _log.warning("Result %s not stored: %s.", name, ref.err_value)
             return None
-        return sealed.chunk_result(ref.ok_value)
+        return encoded.chunk_result(ref.ok_value)
 
-    def _record(
+    def _record_done(
         self, sealing: Sealing, stored: batchrecords.ChunkResult
     ) -> Sealing | batchmessages.Ended:
         holding = sealing.run.holding
         record = batchrecords.ChunkRecord(
             "done", holding.epoch, self._vm, self._incarnation, stored
         )
-        # The claim's revision is expected: whoever claimed the chunk since
-        # has changed it, and then this result can never be read.
+        # The put expects the claim's revision. If another VM has claimed the
+        # chunk since, it fails, and this result never becomes readable.
         put = self._keyvalue.put(
             batchrecords.chunk_key(holding.job, holding.chunk),
             batchrecords.dump(record),
@@ -85,9 +94,9 @@
             return sealing
         current = put.err_value.current
         if current is None:
-            return self._end_after_job(sealing.run, stored)
+            return self._resolve_after_job(sealing.run, stored)
         if current.value == batchrecords.dump(record):
-            # An earlier try took effect and its answer was lost.
+            # An earlier put took effect, but its answer was lost.
             self.count(sealing.run, is_kept=True)
             return batchmessages.Ended(
                 holding.job,
@@ -103,19 +112,19 @@
         self._replicas.delete(stored.ref)
         return batchmessages.Ended(holding.job, holding.chunk, "unsure")
 
-    def _end_after_job(
+    def _resolve_after_job(
         self, run: chunkrun.ChunkRun, stored: batchrecords.ChunkResult
     ) -> Sealing | batchmessages.Ended:
-        # The job has ended and its chunks' records are gone. An earlier try
-        # whose answer was lost may have made this very result part of the
-        # job, so the object stays; what nobody refers to expires.
-        is_kept = self._is_kept(run.holding.job, stored)
+        # The job has ended and its chunk records are deleted. An earlier put
+        # whose answer was lost may have made this result part of the job, so
+        # the object is not deleted. If nothing refers to it, it expires.
+        is_kept = self._is_in_job_results(run.holding.job, stored)
         if is_kept is None:
             return Sealing(run, stored)
         self.count(run, is_kept)
         return batchmessages.Ended(run.holding.job, run.holding.chunk, "unsure")
 
-    def _is_kept(
+    def _is_in_job_results(
         self, job: str, stored: batchrecords.ChunkResult
     ) -> bool | None:
         entry = self._keyvalue.get(batchrecords.job_key(job))
@@ -130,17 +139,21 @@
         if isinstance(data, result.Err):
             return None
         index = batchrecords.load(batchrecords.ResultIndex, data.ok_value)
-        return any(one.ref.name == stored.ref.name for one in index.chunks)
+        return any(chunk.ref.name == stored.ref.name for chunk in index.chunks)
 
     def count(self, run: chunkrun.ChunkRun, is_kept: bool) -> None:
-        """Counts a chunk's answers: as they are, or as run for nothing."""
+        """Records the usage of a chunk's answers, as discarded unless kept."""
         for event in run.usage():
             self._usage.record(
                 event if is_kept else event._replace(outcome="discarded")
             )
 
     def save_partial(self, run: chunkrun.ChunkRun) -> objects.ObjectRef | None:
-        """Stores the answers so far, for the chunk's next holder."""
+        """Stores the answers so far for the chunk's next holder.
+
+        Returns:
+            The object; `None` if there are no answers or no store took them.
+        """
         partial = run.partial()
         if not partial.lines:
             return None
