--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of stand-ins."""
+"""Fixtures shared by the daemon's tests."""
 
 from collections.abc import Iterator
 import pathlib
@@ -13,6 +13,7 @@
 
 @pytest.fixture
 def booking() -> Iterator[plain.PlainService]:
+    """A running plain service that stands in for a booking service."""
     server = plain.PlainService()
     server.start()
     yield server
@@ -23,6 +24,6 @@
 def fleet(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> Iterator[batchfakes.Fleet]:
-    """Three VMs whose jobs have chunks of two items."""
+    """Three VMs that split input files into chunks of two items."""
     monkeypatch.setattr(batchrecords, "MAX_CHUNK_ITEMS", 2)
     yield batchscene.make(tmp_path)
--- a/tests/daemon/test_batch.py
+++ b/tests/daemon/test_batch.py
@@ -1,4 +1,4 @@
-"""Tests of batch work from upload to result, over fakes."""
+"""Tests of batch jobs from upload to result, with fake services."""
 
 import pathlib
 
--- a/tests/daemon/test_batchfailures.py
+++ b/tests/daemon/test_batchfailures.py
@@ -1,4 +1,4 @@
-"""Tests of single failures in batch work, each with its story."""
+"""Tests of batch jobs under single failures."""
 
 import json
 import pathlib
@@ -16,12 +16,12 @@
 from support import batchupstreams
 
 
-def test_late_result_of_an_older_holder_never_counts(
+def test_late_result_of_an_earlier_holder_is_discarded(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A customer's answer changes between two reads, and is paid for twice:
-    # a VM froze with all answers of a chunk in hand, another ran the chunk
-    # again, and the first one came back and recorded its own result.
+    # Guards against a result that changes between two reads and is charged
+    # twice: a VM freezes before it seals a chunk, another VM runs the chunk
+    # again, and the first VM resumes and records its own result.
     job = batchscene.start(fleet)
     frozen = fleet.vms["vm2"]
     fleet.vms["vm0"].coordinator.tick()
@@ -41,11 +41,11 @@
     assert fleet.counted("ok") == len(batchscene.PROMPTS)
 
 
-def test_paused_holder_drops_a_chunk_that_is_anothers(
+def test_paused_holder_detects_the_claim_of_another_vm(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # Engines run the items of a job twice for hours: a VM that was paused
-    # goes on with a chunk that another has claimed since.
+    # Guards against items that run twice: a VM that was paused continues with
+    # a chunk that another VM has claimed since.
     job = batchscene.start(fleet)
     old, new = fleet.vms["vm1"], fleet.vms["vm2"]
     first = old.claim(batchmessages.Offer(job, 1, 1, 0)).unwrap().holding
@@ -59,8 +59,8 @@
 def test_chunk_without_upstreams_goes_to_another_vm(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A batch stands still while engines are idle: chunks lie at VMs that
-    # own no upstream of their model, where items wait for slots for ever.
+    # Guards against a job that makes no progress while engines are idle: a VM
+    # without upstreams for a chunk's model holds the chunk for ever.
     job = batchscene.start(fleet)
     fleet.router.slots = 0
     fleet.run(3)
@@ -90,8 +90,8 @@
 def test_item_that_crashes_engines_gets_an_error_line(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A batch never ends: one of its items crashes each engine that runs it
-    # and is sent again for ever.
+    # Guards against a job that never ends: one of its items crashes each
+    # engine that runs it and is retried without a limit.
     def fault(prompt: str) -> Any:
         return batchupstreams.crashed() if prompt == "word 3" else None
 
@@ -105,11 +105,11 @@
     assert fleet.upstreams.prompts.count("word 3") == 3
 
 
-def test_yielding_to_online_work_is_no_failed_try(
+def test_yielding_to_online_work_is_not_a_failed_try(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A quiz comes back with failed items after a busy lesson: each time
-    # that an item made room for online work counted as a failed try.
+    # Guards against items that fail under online load: each time that an item
+    # yields to online work counts as a failed try.
     cancelled = services.UpstreamError("cancelled", "ran", "yielded")
     yields = {"word 1": 10}
 
@@ -128,8 +128,8 @@
 
 
 def test_results_wait_for_the_platform(fleet: batchfakes.Fleet) -> None:
-    # A batch that ran through an outage of the platform runs once more
-    # afterwards, or never ends: its results had nowhere to be recorded.
+    # Guards against a job that runs again or never ends after an outage of
+    # the platform, during which its results cannot be recorded.
     job = batchscene.start(fleet)
     for vm in fleet.vms.values():
         vm.coordinator.tick()
@@ -150,9 +150,9 @@
     assert len(fleet.upstreams.prompts) == len(batchscene.PROMPTS)
 
 
-def test_graceful_stop_hands_answers_on(fleet: batchfakes.Fleet) -> None:
-    # After each planned restart a part of the batch is run and paid again:
-    # the answers in hand went with the process.
+def test_graceful_stop_keeps_answers(fleet: batchfakes.Fleet) -> None:
+    # Guards against items that run and are charged again after a planned
+    # restart: the process stops without storing the answers of its chunks.
     job = batchscene.start(fleet)
     fleet.run(0)
     for vm in fleet.vms.values():
@@ -173,9 +173,9 @@
 def test_result_whose_answer_was_lost_stays_readable(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A completed job's file breaks off in the middle: the answer to a seal
-    # was lost, the job ended meanwhile, and the VM that sealed once more
-    # found no record of the chunk and deleted what it took for a leftover.
+    # Guards against a completed job whose output is truncated: the answer to
+    # a seal is lost, the job ends, and on its retry the VM finds no record of
+    # the chunk and deletes the result as an orphan.
     job = batchscene.start(fleet)
     slow = batchscene.hold(fleet, "vm1")
     fleet.network.silent.clear()
@@ -193,7 +193,7 @@
     assert fleet.counted("ok") == len(batchscene.PROMPTS)
 
 
-def test_old_records_and_objects_go(
+def test_expired_records_and_objects_are_deleted(
     fleet: batchfakes.Fleet, tmp_path: pathlib.Path
 ) -> None:
     job = batchscene.start(fleet)
@@ -210,8 +210,8 @@
 def test_store_lost_twice_keeps_the_objects(
     fleet: batchfakes.Fleet, tmp_path: pathlib.Path
 ) -> None:
-    # A file that was acknowledged cannot be read a day later: its stores
-    # were replaced one after the other, and nobody copied it in between.
+    # Guards against the loss of an acknowledged file: its stores are replaced
+    # one after the other and no store copies it in between.
     vm = fleet.vms["vm0"]
     file = vm.upload("c", batchscene.PROMPTS).json["id"]
     for name, domain in (("vm1", "d1"), ("vm2", "d2")):
@@ -224,22 +224,22 @@
     assert held == batchfakes.lines(batchscene.PROMPTS)
 
 
-def test_no_copy_is_taken_while_one_domain_has_stores(
+def test_upload_is_refused_while_one_domain_has_stores(
     fleet: batchfakes.Fleet, tmp_path: pathlib.Path
 ) -> None:
-    # A job that was acknowledged is gone with a failure domain: while the
-    # others had no store, both copies were put into one.
+    # Guards against the loss of an acknowledged job with one failure domain:
+    # while the other domains have no store, both copies are put into it.
     fleet.run(1)
     fleet.lose("vm1")
     fleet.lose("vm2")
     fleet.add("vm3", "d0", str(tmp_path / "vm3"))
     reply = fleet.vms["vm0"].upload("c", batchscene.PROMPTS)
-    # The list has shown vm1's and vm2's domains before.
+    # The VM has seen the domains of vm1 and vm2, so it requires a second one.
     assert reply.status == 503
     assert reply.json["error"]["ran"] == "not_run"
 
 
-def test_wrong_lines_are_named(fleet: batchfakes.Fleet) -> None:
+def test_invalid_input_lines_are_reported(fleet: batchfakes.Fleet) -> None:
     good = json.loads(batchfakes.lines({"a": "x"}))
     cases = (
         (b"{", "Line 2: not JSON"),
@@ -268,8 +268,8 @@
 
 
 def test_shares_follow_the_weights(fleet: batchfakes.Fleet) -> None:
-    # The worst-served customer waits for all of another's batch: chunks
-    # were given out in the order in which the jobs came.
+    # Guards against a customer that waits for another's whole job: chunks are
+    # offered in the order of submission instead of by weight.
     fleet.weights.update({"big": 3.0, "small": 1.0})
     for customer in ("big", "small"):
         many = {f"i{n}": f"{customer} {n}" for n in range(64)}
@@ -288,10 +288,11 @@
     assert 0.65 <= share <= 0.85, sent
 
 
-def test_results_are_read_once_connections_stand_again(
+def test_results_are_read_after_reconnecting(
     fleet: batchfakes.Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A VM that was paused says that no store answers: its connections end.
+    # Guards against a failed read after a pause of a VM: its connections are
+    # closed, and it reports that no store answers before it has reconnected.
     job = batchscene.start(fleet)
     fleet.run(10)
     whole = batchscene.outcome(fleet, job)
@@ -310,7 +311,7 @@
 def test_results_without_a_store_are_refused_in_time(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A reader waits for ever while all stores are away.
+    # Guards against a reader that waits for ever while no store answers.
     job = batchscene.start(fleet)
     fleet.run(10)
     vm = fleet.vms["vm1"]
@@ -322,7 +323,9 @@
     assert fleet.clock.now_s - began_s < 1.5
 
 
-def test_another_customer_sees_nothing(fleet: batchfakes.Fleet) -> None:
+def test_jobs_and_files_are_hidden_from_other_customers(
+    fleet: batchfakes.Fleet,
+) -> None:
     job = batchscene.start(fleet)
     fleet.run(10)
     vm = fleet.vms["vm0"]
@@ -335,7 +338,7 @@
     assert vm.request("d", "GET", "/v1/batches").json["data"] == []
 
 
-def test_partial_keeps_each_line() -> None:
+def test_partial_survives_encoding() -> None:
     partial = chunkrun.Partial((chunkrun.PartialLine(1, True, "{}"),))
     data = batchrecords.dump(partial)
     assert batchrecords.load(chunkrun.Partial, data) == partial
--- a/tests/daemon/test_batchmachine.py
+++ b/tests/daemon/test_batchmachine.py
@@ -1,9 +1,9 @@
-"""Batch work under faults, against a dictionary of items.
+"""Stateful tests of batch jobs under faults, against a model.
 
-The machine resends and cancels jobs, loses, freezes and replaces VMs and
-their disks, takes the platform's service away and loses its answers. When
-all is well again each accepted job has to end, and each of its items to
-have exactly one answer, its own.
+The state machine resends and cancels jobs, freezes, loses and replaces VMs
+and their disks, makes the platform's key-value service unavailable and loses
+its answers. After all faults are repaired, each accepted job must end, and
+each of its items must have exactly one answer, which matches its prompt.
 """
 
 import contextlib
@@ -40,8 +40,17 @@
     sent: int
 
 
-class Known:
-    """What a client knows of the job it sent under a key."""
+class ClientView:
+    """A client's view of the job that it submits under one idempotency key.
+
+    Attributes:
+        tried: The variants whose submission may have taken effect.
+        variant: The variant that was accepted; empty before that.
+        job: The ID of the accepted job; empty before that.
+        was_cancelled: Whether a cancellation was confirmed.
+        may_be_cancelled: Whether the outcome of a cancellation is unknown.
+        final: The job as first read after its end.
+    """
 
     def __init__(self) -> None:
         self.tried: set[str] = set()
@@ -53,7 +62,7 @@
 
 
 class BatchMachine(stateful.RuleBasedStateMachine):
-    # How a VM may refuse a client.
+    # The HTTP statuses with which a VM may refuse a client.
     refused: tuple[int, ...] = (503,)
 
     def __init__(self) -> None:
@@ -64,14 +73,14 @@
         )
         patch = self.stack.enter_context(pytest.MonkeyPatch.context())
         patch.setattr(batchrecords, "MAX_CHUNK_ITEMS", 3)
-        # No power is cut here, and syncing takes most of the time.
+        # The test never cuts power, and syncing would take most of its time.
         patch.setattr(os, "fsync", lambda handle: None)
         self.fleet: Any = self.make_fleet(patch)
         self.fleet.upstreams.fault = self.crash
         self.names = [f"vm{n}" for n in range(4)]
         for number in range(4):
             self.add(number)
-        self.known = {key: Known() for key in KEYS}
+        self.known = {key: ClientView() for key in KEYS}
         self.needs_repair = False
         self.has_lost_vm = False
 
@@ -79,7 +88,10 @@
         return batchfakes.Fleet()
 
     def is_well(self) -> bool:
-        """Whether one of the two stores that have an object is there."""
+        """Whether at least one copy of each object can be read.
+
+        After a lost disk there may be a single copy, on a VM that is silent.
+        """
         return not (self.needs_repair and self.fleet.network.silent)
 
     def crash(self, prompt: str) -> Any:
@@ -96,7 +108,7 @@
             return None
         return self.fleet.vms[name]
 
-    # What clients do.
+    # Client actions.
 
     @stateful.rule(
         number=VMS, key=st.sampled_from(KEYS), variant=st.sampled_from(VARIANTS)
@@ -166,11 +178,11 @@
         sent = sum(p.startswith(mark) for p in self.fleet.upstreams.prompts)
         final = Final(status, output + errors, sent)
         if known.final is not None:
-            # An ended job reads the same for ever and never runs again.
+            # An ended job never changes and never runs again.
             assert final == known.final
         known.final = final
 
-    # What VMs do.
+    # VM actions.
 
     @stateful.rule(number=VMS, items=st.integers(0, 4))
     def work(self, number: int, items: int) -> None:
@@ -200,11 +212,11 @@
     def go_on(self, rounds: int) -> None:
         self.fleet.run(rounds)
 
-    # What fails.
+    # Faults.
 
     @stateful.rule(number=VMS)
     def freeze(self, number: int) -> None:
-        """The VM stands still with all it has in flight, and is listed."""
+        """Stops the VM's activity; it keeps its work and stays listed."""
         if not self.fleet.network.silent:
             self.fleet.network.silent.add(self.names[number])
 
@@ -214,7 +226,7 @@
 
     @stateful.rule(number=VMS)
     def lose(self, number: int) -> None:
-        """The VM and its disk are gone; another takes its place."""
+        """Loses the VM with its disk and adds a new VM in its place."""
         name = self.names[number]
         others = self.fleet.network.silent - {name}
         if self.needs_repair or others:
@@ -228,7 +240,7 @@
 
     @stateful.rule(number=VMS)
     def leave(self, number: int) -> None:
-        """The process stops gracefully and starts again with its disk."""
+        """Stops the process gracefully and starts it again on the same disk."""
         vm = self.awake(number)
         if vm is None or self.fleet.keyvalue.has_outage:
             return
@@ -249,7 +261,7 @@
     def lose_answers(self, count: int) -> None:
         self.fleet.keyvalue.lose_answers = count
 
-    # In the end.
+    # Final checks.
 
     def teardown(self) -> None:
         with self.stack:
@@ -288,7 +300,7 @@
         answered = sum(not line["error"] for line in found.values())
         counted = outcomes.count("ok")
         assert counted <= answered, "an answer was counted twice"
-        # What a lost VM had not counted yet is not counted.
+        # A lost VM may have lost usage events that it had not recorded.
         assert counted == answered or self.has_lost_vm
         if is_cancelled:
             assert known.was_cancelled or known.may_be_cancelled
--- a/tests/support/batchfakes.py
+++ b/tests/support/batchfakes.py
@@ -1,4 +1,4 @@
-"""Small fakes for the services that batch work leans on."""
+"""Fakes of the services that the batch services depend on."""
 
 from collections.abc import Callable, Mapping
 import io
@@ -33,7 +33,13 @@
 
 
 class Network(fakes.Network):
-    """All VMs' message handlers, and which VMs answer."""
+    """The network between VMs.
+
+    Attributes:
+        silent: The VMs that do not answer.
+        vms: The listed VMs by name.
+        log: Called with the target and each message that is sent.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +58,7 @@
 
 
 class FakePeers(fakes.Peers):
-    """Calls the handlers of other VMs through the codec."""
+    """Calls the handlers of other VMs and encodes all messages on the way."""
 
     def __init__(self, network: Network, vm: str) -> None:
         super().__init__(network, vm)
@@ -72,7 +78,7 @@
 
 
 class FakeMembership(fakes.Membership):
-    """The network's VMs, and always the own one."""
+    """Lists the network's VMs and always this VM."""
 
     def __init__(self, network: Network, own: records.Vm, incarnation: str):
         super().__init__(own, (), incarnation)
@@ -87,7 +93,7 @@
 
 
 class FakeRest(fakes.Inert):
-    """Configuration, limits, usage and routes in one."""
+    """A fake of configuration, limits, usage and the HTTP servers."""
 
     def __init__(self) -> None:
         self.weights: dict[str, float] = {}
@@ -115,17 +121,17 @@
         self.routes.setdefault(path, {})[method] = handler
 
     def call(self, method: str, path: str, *rest: Any) -> Any:
-        """Calls the handler whose path fits best."""
-        fits = [
+        """Calls the handler with the longest matching path."""
+        matches = [
             known
             for known in self.routes
             if known == path or (known.endswith("/") and path.startswith(known))
         ]
-        return self.routes[max(fits, key=len)][method](*rest)
+        return self.routes[max(matches, key=len)][method](*rest)
 
 
 class Reply:
-    """A whole response."""
+    """An HTTP response, read completely."""
 
     def __init__(self, response: httpd.Response) -> None:
         self.status = response.status
@@ -142,7 +148,7 @@
 
 
 class BatchVm:
-    """The real batch services of one VM, moved by hand."""
+    """The real batch services of one VM, without their threads."""
 
     name: str
     clock: clock_lib.Clock
@@ -151,7 +157,7 @@
     settings: defaults.Settings
 
     def add_batch(self, kernel: kernel_lib.Kernel) -> None:
-        """Adds the batch services to those that they lean on."""
+        """Adds the batch services to a kernel with their dependencies."""
         register: Any = kernel.register
         values, clock = self.settings, self.clock
         self.repair = None
@@ -205,7 +211,7 @@
         return self.request(customer, "POST", "/v1/batches", body, headers)
 
     def run_items(self, most: int = 10**9) -> int:
-        """Runs up to `most` items that are due now."""
+        """Runs up to `most` items that are due now; returns how many ran."""
         count = 0
         while count < most:
             picked = self.worker.pick()
@@ -216,24 +222,25 @@
         return count
 
     def seal(self) -> None:
+        """Seals results until none are left or one fails."""
         while self.worker.has_results() and self.worker.seal_one():
             pass
 
     def claim(self, offer: batchmessages.Offer) -> result.Result[Any, Any]:
-        """Claims an offered chunk as the worker does."""
+        """Claims an offered chunk in this VM's name, outside its worker."""
         row = self.membership.own()
         keyvalue: Any = self.keyvalue
-        mine = claims.Claims(
+        claimer = claims.Claims(
             keyvalue,
             self.replicas,
             self.clock,
             row.vm,
             self.membership.incarnation(),
         )
-        return mine.claim(offer)
+        return claimer.claim(offer)
 
     def finisher(self) -> finishing.Finisher:
-        """What a coordinator ends jobs with."""
+        """Returns a finisher as a coordinator uses it."""
         keyvalue: Any = self.keyvalue
         kept = retention.Retention(keyvalue, self.clock, 1e6)
         return finishing.Finisher(keyvalue, self.replicas, self.clock, kept)
@@ -242,7 +249,7 @@
         return self.request(customer, "GET", f"/v1/batches/{job}")
 
     def content(self, customer: str, file: str | None) -> bytes:
-        """A file's content; nothing if there is no such file."""
+        """Returns a file's content, or nothing if `file` is `None`."""
         if file is None:
             return b""
         path = f"/v1/files/{file}/content"
@@ -255,7 +262,7 @@
 
 
 class FakeVm(BatchVm):
-    """The batch services of one VM over fakes alone."""
+    """The batch services of one VM, with fakes of all other services."""
 
     def __init__(
         self,
@@ -314,7 +321,7 @@
 
 
 class Fleet:
-    """Some VMs over one fake platform and one fake engine."""
+    """Several VMs that share one fake platform and one fake engine."""
 
     def __init__(self) -> None:
         self.clock = clock_lib.FakeClock()
@@ -334,7 +341,7 @@
         return vm
 
     def lose(self, name: str) -> None:
-        """The VM and its disk are gone, and the list shows it."""
+        """Removes a VM with its disk, also from the platform's list."""
         del self.vms[name]
         del self.network.vms[name]
         del self.network.handlers[name]
@@ -343,11 +350,12 @@
         return sum(event.outcome == outcome for event in self.events)
 
     def awake(self) -> list[FakeVm]:
+        """Returns the VMs that are not silent."""
         silent = self.network.silent
         return [vm for name, vm in self.vms.items() if name not in silent]
 
     def round(self) -> None:
-        """Lets each VM do what is due, then a second passes."""
+        """Lets each VM do the work that is due, then advances a second."""
         for vm in self.awake():
             vm.coordinator.tick()
         for vm in self.awake():
@@ -357,7 +365,7 @@
         self.clock.now_s += 1.0
 
     def repair(self) -> None:
-        """Lets the stores notice who is gone, and copy."""
+        """Lets the stores detect lost VMs and copy objects again."""
         for _ in range(2):
             for vm in self.awake():
                 if vm.repair is not None:
@@ -370,7 +378,7 @@
 
 
 def lines(prompts: Mapping[str, str]) -> bytes:
-    """An input file whose items ask for these prompts by custom ID."""
+    """Returns an input file with one item for each custom ID and prompt."""
     return b"".join(
         json.dumps(
             {
@@ -386,7 +394,7 @@
 
 
 def form(data: bytes, purpose: str = "batch") -> tuple[bytes, str]:
-    """A multipart upload of a file, and its content type."""
+    """Returns a multipart upload of a file and its content type."""
     body = (
         b'--XX\r\nContent-Disposition: form-data; name="purpose"\r\n\r\n'
         + purpose.encode()
@@ -400,7 +408,7 @@
 
 
 def read_lines(body: bytes) -> dict[str, Any]:
-    """Result files' lines by custom ID; each may stand there once."""
+    """Returns result lines by custom ID, each of which must be unique."""
     found: dict[str, Any] = {}
     for text in body.splitlines():
         line = json.loads(text)
--- a/tests/support/batchscene.py
+++ b/tests/support/batchscene.py
@@ -1,4 +1,4 @@
-"""A batch fleet of three VMs, and jobs begun on it."""
+"""Scenarios on a fleet of three VMs that run batch jobs."""
 
 import pathlib
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def make(folder: pathlib.Path) -> batchfakes.Fleet:
-    """Returns three VMs, each in a failure domain of its own."""
+    """Returns a fleet of three VMs in three failure domains."""
     made = batchfakes.Fleet()
     for number in range(3):
         name = f"vm{number}"
@@ -23,6 +23,7 @@
     customer: str = "c",
     window: str = "24h",
 ) -> str:
+    """Uploads an input file, submits a job for it and returns its ID."""
     vm = fleet.vms["vm0"]
     file = vm.upload(customer, prompts).json["id"]
     job = vm.submit(customer, file, window=window).json["id"]
@@ -33,6 +34,7 @@
 def outcome(
     fleet: batchfakes.Fleet, job: str, customer: str = "c"
 ) -> tuple[str, dict[str, Any]]:
+    """Returns a job's status and its result lines by custom ID."""
     vm = fleet.vms["vm1"]
     shown = vm.show(customer, job).json
     lines = vm.content(customer, shown["output_file_id"])
@@ -41,7 +43,7 @@
 
 
 def hold(fleet: batchfakes.Fleet, name: str) -> batchfakes.FakeVm:
-    """Lets one VM claim chunks and run some items, and stand still then."""
+    """Makes a VM claim chunks, run three items and then fall silent."""
     for vm in fleet.vms.values():
         vm.coordinator.tick()
     vm = fleet.vms[name]
--- a/tests/support/batchupstreams.py
+++ b/tests/support/batchupstreams.py
@@ -1,4 +1,4 @@
-"""Fakes of the router and the upstreams that batch work runs on."""
+"""Fakes of the router and the upstreams that run batch items."""
 
 from collections.abc import Callable, Iterator, Mapping
 import json
@@ -30,7 +30,12 @@
 
 
 class FakeRouter:
-    """Gives a slot for each item; `refuse` may refuse by fingerprint."""
+    """Grants a slot to each item.
+
+    Attributes:
+        slots: The number of free batch slots that the router reports.
+        refuse: Returns the refusal for an item, or `None` to grant a slot.
+    """
 
     def __init__(self) -> None:
         self.slots = 1000
@@ -69,14 +74,20 @@
 
 
 def answer(prompt: str, run: int = 0) -> dict[str, Any]:
-    """What the fake engine answers; each run gives another answer."""
+    """Returns the fake engine's answer, which is different for each run."""
     usage = {"prompt_tokens": 2, "completion_tokens": 3}
     choice = {"text": prompt.upper(), "run": run}
     return {"choices": [choice], "usage": usage}
 
 
 class FakeUpstreams:
-    """An engine that answers at once; `fault` may answer in its place."""
+    """An engine that answers at once.
+
+    Attributes:
+        prompts: The prompts sent so far.
+        fault: Returns the result to give instead of the engine's answer, or
+            `None`.
+    """
 
     def __init__(self) -> None:
         self.prompts: list[str] = []
