--- a/packages/daemon/bulrushdeald/cancelling.py
+++ b/packages/daemon/bulrushdeald/cancelling.py
@@ -1,4 +1,4 @@
-"""Cancels batch jobs."""
+"""Cancels batch jobs and stops their running chunks."""
 
 import result
 
@@ -10,11 +10,11 @@
 from bulrushdeald import services
 
 _CALL_TIMEOUT_S = 1.0
-_TRIES = 5
+_MAX_ATTEMPTS = 5
 
 
 class Canceller:
-    """Decides cancellations and makes them known."""
+    """Records cancellations and notifies coordinators and chunk holders."""
 
     def __init__(
         self,
@@ -29,47 +29,55 @@
         self._clock = clock
 
     def cancel(
-        self, held: jobqueue.Held
+        self, stored: jobqueue.StoredJob
     ) -> result.Result[batchrecords.JobRecord, services.Refusal]:
-        """Cancels a job, unless it has ended; returns it as it is then.
+        """Cancels a job unless it has ended.
 
-        It may be called again and again: what an earlier call could not
-        make known is made known then.
+        The call may be repeated: a later call publishes a cancellation that
+        an earlier call recorded but could not publish.
+
+        Args:
+            stored: The job as last read.
+
+        Returns:
+            The job's current record, or a refusal if it is not certain that
+            the cancellation takes effect.
         """
-        for _ in range(_TRIES):
-            record, revision = held
+        for _ in range(_MAX_ATTEMPTS):
+            record, revision = stored
             if record.has_ended:
                 return result.Ok(record)
             if record.state == "cancelling":
-                return self._make_known(record)
+                return self._publish(record)
             cancelled = record._replace(
                 state="cancelling", cancelling_wall_s=self._clock.wall_s()
             )
-            # The completion of the job may come between: the service takes
-            # the first of the two and the other sees the outcome.
+            # The job may complete at the same time. The key-value service
+            # accepts the first of the two writes, and the other writer gets
+            # a conflict with the current record.
             put = self._keyvalue.put(
                 batchrecords.job_key(record.job),
                 batchrecords.dump(cancelled),
                 revision,
             )
             if isinstance(put, result.Ok):
-                return self._make_known(cancelled)
+                return self._publish(cancelled)
             current = put.err_value.current
             if put.err_value.kind != "conflict" or current is None:
                 break
-            held = jobqueue.Held(
+            stored = jobqueue.StoredJob(
                 batchrecords.load(batchrecords.JobRecord, current.value),
                 current.revision,
             )
         return result.Err(jobqueue.unavailable("unknown"))
 
-    def _make_known(
+    def _publish(
         self, record: batchrecords.JobRecord
     ) -> result.Result[batchrecords.JobRecord, services.Refusal]:
-        # The mark is what a coordinator surely sees, in its next sweep; the
-        # messages make it quick.
+        # The coordinator's next sweep reads the queue entry in any case. The
+        # messages only shorten the delay, so their failures are ignored.
         entry = jobqueue.entry(record, self._clock.wall_s())
-        if not self._queue.mark(entry):
+        if not self._queue.replace(entry):
             return result.Err(jobqueue.unavailable("unknown"))
         self._queue.notify(entry)
         chunks = self._keyvalue.list(batchrecords.chunk_prefix(record.job))
--- a/packages/daemon/bulrushdeald/files.py
+++ b/packages/daemon/bulrushdeald/files.py
@@ -1,4 +1,4 @@
-"""Files that callers upload for batch jobs, and the results they fetch."""
+"""HTTP routes to upload input files and download result files."""
 
 from collections.abc import Iterator
 import hashlib
@@ -27,11 +27,11 @@
 NAME = "files"
 PATH = "/v1/files"
 _RETRY_AFTER_S = 10.0
-_MAX_FILENAME = 256
+_MAX_FILENAME_LENGTH = 256
 
 
 class Files:
-    """Serves the files of batch jobs."""
+    """Accepts input files of batch jobs and serves input and result files."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._refused = 0
 
     def start(self) -> None:
-        """Adds the callers' routes."""
+        """Registers the callers' routes."""
         self._keyvalue = self._kernel.find(services.KEYVALUE, services.KeyValue)
         self._replicas = self._kernel.find(replicas.NAME, replicas.Replicas)
         self._results = results.Reader(
@@ -61,11 +61,11 @@
         routes.route("GET", PATH + "/", self._get, bulk=True)
 
     def stop(self, grace_s: float) -> None:
-        """Has nothing to end: an upload cut off was never accepted."""
+        """Does nothing: an upload that is cut off was not acknowledged."""
         del grace_s
 
     def dump(self) -> Any:
-        """Returns counts since the start."""
+        """Returns the counts of accepted and refused uploads since start."""
         return {"accepted": self._accepted, "refused": self._refused}
 
     def _post(
@@ -110,13 +110,13 @@
             )
         if stored is None:
             return result.Err(refusals.bad_input("A file is required.", "file"))
-        return self._record(stored)
+        return self._save(stored)
 
     def _store(
         self, part: multipart.Part, file: str, customer: str
     ) -> batchrecords.FileRecord:
-        # Objects are named for the attempt: an upload sent twice at once
-        # must not mix its chunks.
+        # Each attempt has its own object names, so that two concurrent
+        # uploads of one file do not mix their chunks.
         attempt = f"{file}/{secrets.token_hex(6)}"
         split = splitter.Splitter()
         chunks: list[batchrecords.ChunkInput] = []
@@ -132,7 +132,7 @@
         return batchrecords.FileRecord(
             file,
             customer,
-            part.filename[:_MAX_FILENAME],
+            part.filename[:_MAX_FILENAME_LENGTH],
             split.size_bytes,
             split.items,
             len(chunks),
@@ -143,34 +143,36 @@
             put.ok_value,
         )
 
-    def _record(
+    def _save(
         self, record: batchrecords.FileRecord
     ) -> result.Result[batchrecords.FileRecord, services.Refusal]:
         put = self._keyvalue.put(
             batchrecords.file_key(record.file), batchrecords.dump(record), 0
         )
         if isinstance(put, result.Ok):
-            # Should this be lost, the small record stays for ever; the
-            # file itself expires in the stores.
+            # If this write is lost, the small record is never deleted. The
+            # file itself still expires in the stores.
             key = batchrecords.file_key(record.file)
             self._retention.add(record.customer, record.file, key)
             return result.Ok(record)
         current = put.err_value.current
         if put.err_value.kind == "unknown":
-            message = "The platform did not answer whether it has the file."
+            message = "The platform did not confirm that it recorded the file."
             return result.Err(_unavailable(message, "unknown"))
         if put.err_value.kind != "conflict" or current is None:
             return result.Err(_unavailable("The platform does not answer."))
-        held = batchrecords.load(batchrecords.FileRecord, current.value)
-        if held.digest != record.digest:
+        stored_record = batchrecords.load(
+            batchrecords.FileRecord, current.value
+        )
+        if stored_record.digest != record.digest:
             return result.Err(
                 services.Refusal(
                     422,
                     "idempotency_key_reused",
-                    "The key came with another file before.",
+                    "The idempotency key was used for another file.",
                 )
             )
-        return result.Ok(held)
+        return result.Ok(stored_record)
 
     def _get(
         self, request: httpd.Request, principal: services.Principal
@@ -181,16 +183,16 @@
         customer = principal.customer.customer
         job = results.job_of(name)
         if job:
-            found = self._results.file(name, job, customer)
+            found = self._results.result_file(name, job, customer)
         else:
-            found = self._input(name, customer)
+            found = self._input_file(name, customer)
         if isinstance(found, result.Err):
             return refusals.response(found.err_value)
         if rest == "":
             return httpd.json_response(200, found.ok_value.description)
-        return _content(found.ok_value)
+        return _content_response(found.ok_value)
 
-    def _input(
+    def _input_file(
         self, file: str, customer: str
     ) -> result.Result[results.File, services.Refusal]:
         record = read_file(self._keyvalue, file, customer)
@@ -202,13 +204,16 @@
 
 
 class _StoreFailedError(Exception):
-    """The bulk stores did not take a chunk."""
+    """The bulk stores did not accept an object."""
 
 
 def read_file(
     keyvalue: services.KeyValue, file: str, customer: str
 ) -> result.Result[batchrecords.FileRecord, services.Refusal]:
-    """Returns a customer's file; another customer's is not found."""
+    """Returns the record of a customer's file.
+
+    Another customer's file is refused as not found.
+    """
     if not batchrecords.is_file(file):
         return result.Err(refusals.not_found(f"No file {file}."))
     entry = keyvalue.get(batchrecords.file_key(file))
@@ -229,7 +234,7 @@
 
 
 def file_id(customer: str, key: str) -> str:
-    """Returns the ID of a new file: the same for the same key."""
+    """Returns a new file's ID; equal for equal non-empty idempotency keys."""
     tag = batchrecords.customer_tag(customer)
     if not key:
         return f"file-{tag}{secrets.token_hex(12)}"
@@ -238,7 +243,7 @@
 
 
 def describe(record: batchrecords.FileRecord) -> dict[str, Any]:
-    """Returns a file in the shape that client libraries know."""
+    """Returns the file object of the API, as client libraries expect it."""
     return {
         "id": record.file,
         "object": "file",
@@ -250,15 +255,15 @@
     }
 
 
-def _content(file: results.File) -> httpd.Response:
+def _content_response(file: results.File) -> httpd.Response:
     headers = (
         ("Content-Type", "application/jsonl"),
         ("Content-Length", str(file.size_bytes)),
     )
-    return httpd.Response(200, headers, _whole(file.pieces))
+    return httpd.Response(200, headers, _yield_pieces(file.pieces))
 
 
-def _whole(pieces: Iterator[bytes]) -> Iterator[bytes]:
+def _yield_pieces(pieces: Iterator[bytes]) -> Iterator[bytes]:
     yield from pieces
 
 
--- a/packages/daemon/bulrushdeald/jobqueue.py
+++ b/packages/daemon/bulrushdeald/jobqueue.py
@@ -1,4 +1,4 @@
-"""The queue of jobs that have not ended, in the platform's service."""
+"""Stores the queue of unfinished jobs in the platform's key-value service."""
 
 from typing import NamedTuple
 
@@ -11,73 +11,91 @@
 
 _CALL_TIMEOUT_S = 1.0
 _RETRY_AFTER_S = 10.0
-_TRIES = 3
-# Well below the age at which `finishing` drops an entry without a job.
-_ENTRY_FRESH_S = 300.0
+_MAX_ATTEMPTS = 3
+# An entry of this age is rewritten. `finishing` deletes an entry without a
+# job after 600 s; this limit stays well below it.
+_RENEW_AFTER_S = 300.0
 
 
-class Held(NamedTuple):
-    """A job's record and its revision."""
+class StoredJob(NamedTuple):
+    """A job's record and its revision in the key-value service."""
 
     record: batchrecords.JobRecord
     revision: int
 
 
 class JobQueue:
-    """Adds jobs to the queue and tells their coordinators."""
+    """Adds jobs to the queue and notifies their coordinators."""
 
     def __init__(
         self,
         keyvalue: services.KeyValue,
         peers: services.Peers,
-        known: coordinators.Coordinators,
+        bucket_coordinators: coordinators.Coordinators,
     ) -> None:
         self._keyvalue = keyvalue
         self._peers = peers
-        self._coordinators = known
+        self._coordinators = bucket_coordinators
 
     def add(self, entry: batchrecords.QueueEntry) -> bool:
-        """Makes sure that a job is in the queue."""
+        """Adds a job to the queue, or renews its entry if it is old.
+
+        Returns:
+            Whether the job is known to be in the queue.
+        """
         key = batchrecords.queue_key(entry.customer, entry.job)
         put = self._keyvalue.put(key, batchrecords.dump(entry), 0)
         if isinstance(put, result.Ok):
             return True
-        held = put.err_value.current
-        if put.err_value.kind != "conflict" or held is None:
+        current = put.err_value.current
+        if put.err_value.kind != "conflict" or current is None:
             return False
-        old = batchrecords.load(batchrecords.QueueEntry, held.value)
-        if entry.written_wall_s - old.written_wall_s < _ENTRY_FRESH_S:
+        old = batchrecords.load(batchrecords.QueueEntry, current.value)
+        if entry.written_wall_s - old.written_wall_s < _RENEW_AFTER_S:
             return True
-        # An old entry without a job is about to be dropped as an orphan.
+        # An old entry without a job would soon be deleted as an orphan.
         renewed = old._replace(written_wall_s=entry.written_wall_s)
-        put = self._keyvalue.put(key, batchrecords.dump(renewed), held.revision)
+        put = self._keyvalue.put(
+            key, batchrecords.dump(renewed), current.revision
+        )
         return isinstance(put, result.Ok)
 
     def has(self, entry: batchrecords.QueueEntry) -> bool:
-        """Tells whether a job is surely in the queue."""
+        """Returns whether a job is in the queue.
+
+        The result is also False if the platform's service does not answer.
+        """
         key = batchrecords.queue_key(entry.customer, entry.job)
-        held = self._keyvalue.get(key)
-        return isinstance(held, result.Ok) and held.ok_value is not None
+        stored = self._keyvalue.get(key)
+        return isinstance(stored, result.Ok) and stored.ok_value is not None
 
-    def mark(self, entry: batchrecords.QueueEntry) -> bool:
-        """Replaces a job's entry, so that the next sweep looks at the job."""
+    def replace(self, entry: batchrecords.QueueEntry) -> bool:
+        """Replaces a job's entry, so that the next sweep reads the job again.
+
+        Returns:
+            Whether the entry was replaced or no longer exists.
+        """
         key = batchrecords.queue_key(entry.customer, entry.job)
-        for _ in range(_TRIES):
-            held = self._keyvalue.get(key)
-            if isinstance(held, result.Err):
+        for _ in range(_MAX_ATTEMPTS):
+            stored = self._keyvalue.get(key)
+            if isinstance(stored, result.Err):
                 return False
-            if held.ok_value is None:
-                # The job has ended and was cleaned up.
+            if stored.ok_value is None:
+                # The job has ended and its entry was deleted.
                 return True
             put = self._keyvalue.put(
-                key, batchrecords.dump(entry), held.ok_value.revision
+                key, batchrecords.dump(entry), stored.ok_value.revision
             )
             if isinstance(put, result.Ok):
                 return True
         return False
 
     def notify(self, entry: batchrecords.QueueEntry) -> None:
-        """Tells the coordinator, which finds it by its sweep otherwise."""
+        """Sends a job's entry to its coordinator.
+
+        A lost notice only costs time: the coordinator's next sweep of the
+        queue finds the job.
+        """
         bucket = batchrecords.bucket_of(entry.customer)
         vm = self._coordinators.of_bucket(bucket)
         if not vm:
@@ -91,7 +109,7 @@
 def entry(
     record: batchrecords.JobRecord, wall_s: float
 ) -> batchrecords.QueueEntry:
-    """Returns a job's queue entry as written now."""
+    """Returns a queue entry for a job, written at `wall_s`."""
     return batchrecords.QueueEntry(
         record.job,
         record.customer,
@@ -105,7 +123,7 @@
 
 
 def unavailable(ran: services.Ran = "not_run") -> services.Refusal:
-    """Returns the refusal while the platform's service is out."""
+    """Returns the refusal for an outage of the platform's service."""
     return services.Refusal(
         503,
         "unavailable",
--- a/packages/daemon/bulrushdeald/jobs.py
+++ b/packages/daemon/bulrushdeald/jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs as callers and operators see them."""
+"""HTTP routes for batch jobs, for callers and for operators."""
 
 from typing import Any
 
@@ -28,7 +28,7 @@
 
 
 class Jobs:
-    """Accepts, shows and cancels batch jobs."""
+    """Creates, shows, lists and cancels batch jobs."""
 
     def __init__(
         self,
@@ -43,16 +43,18 @@
         self._refused = 0
 
     def start(self) -> None:
-        """Adds the callers' and the operators' routes."""
+        """Registers the callers' and the operators' routes."""
         find = self._kernel.find
         self._keyvalue = find(services.KEYVALUE, services.KeyValue)
         peers = find(services.PEERS, services.Peers)
         self._config = find(services.CONFIG, services.Config)
         self._limits = find(services.LIMITS, services.Limits)
         membership = find(services.MEMBERSHIP, services.Membership)
-        known = coordinators.Coordinators(membership, self._clock)
+        bucket_coordinators = coordinators.Coordinators(membership, self._clock)
         peers.understand(*batchmessages.ANSWERS)
-        self._queue = jobqueue.JobQueue(self._keyvalue, peers, known)
+        self._queue = jobqueue.JobQueue(
+            self._keyvalue, peers, bucket_coordinators
+        )
         self._canceller = cancelling.Canceller(
             self._keyvalue, peers, self._queue, self._clock
         )
@@ -67,14 +69,14 @@
         operators.route("POST", OPERATORS_PATH + "/", self._operators_cancel)
 
     def stop(self, grace_s: float) -> None:
-        """Has nothing to end: accepted jobs are in the platform's service."""
+        """Does nothing: accepted jobs are stored in the platform's service."""
         del grace_s
 
     def dump(self) -> Any:
-        """Returns counts since the start."""
+        """Returns the counts of accepted and refused jobs since start."""
         return {"accepted": self._accepted, "refused": self._refused}
 
-    # Accepting a job.
+    # Creating a job.
 
     def _post(
         self, request: httpd.Request, principal: services.Principal
@@ -89,93 +91,99 @@
     def _accept(
         self, request: httpd.Request, customer: str
     ) -> result.Result[dict[str, Any], services.Refusal]:
-        order = orders.read(request.body.read(orders.MAX_BODY_BYTES + 1))
-        if isinstance(order, result.Err):
-            return order
+        job_request = orders.parse(request.body.read(orders.MAX_BODY_BYTES + 1))
+        if isinstance(job_request, result.Err):
+            return job_request
         taken = self._limits.take(customer)
         if isinstance(taken, result.Err):
             return taken
         file = files.read_file(
-            self._keyvalue, order.ok_value.input_file, customer
+            self._keyvalue, job_request.ok_value.input_file, customer
         )
         if isinstance(file, result.Err):
             return file
-        if file.ok_value.paths != (order.ok_value.path,):
+        if file.ok_value.paths != (job_request.ok_value.path,):
             return result.Err(
                 refusals.bad_input(
-                    "Lines of the input file ask for another url.", "endpoint"
+                    "The input file has lines for another url.",
+                    "endpoint",
                 )
             )
-        served = {
+        served_models = {
             model
             for upstream in self._config.upstreams()
             for model in upstream.models
         }
         for model in file.ok_value.models:
-            if model not in served:
+            if model not in served_models:
                 message = f"No upstream serves the model {model}."
                 return result.Err(refusals.bad_input(message, "model"))
         key = request.headers.get("idempotency-key", "")
-        record = self._new_record(order.ok_value, file.ok_value, key)
-        return self._record(record)
+        record = self._new_record(job_request.ok_value, file.ok_value, key)
+        return self._save(record)
 
     def _new_record(
-        self, order: orders.Order, file: batchrecords.FileRecord, key: str
+        self,
+        job_request: orders.JobRequest,
+        file: batchrecords.FileRecord,
+        key: str,
     ) -> batchrecords.JobRecord:
         now_s = self._clock.wall_s()
         return batchrecords.JobRecord(
             orders.job_id(file.customer, key),
             file.customer,
             file.file,
-            order.path,
+            job_request.path,
             file.models,
-            order.window,
-            order.metadata,
-            orders.digest(order, file),
+            job_request.window,
+            job_request.metadata,
+            orders.digest(job_request, file),
             now_s,
-            now_s + order.window_s,
+            now_s + job_request.window_s,
             file.items,
             file.chunk_count,
             file.index_ref,
         )
 
-    def _record(
+    def _save(
         self, record: batchrecords.JobRecord
     ) -> result.Result[dict[str, Any], services.Refusal]:
         entry = jobqueue.entry(record, self._clock.wall_s())
-        # The queue entry goes first: a job that was accepted is always
-        # found by the coordinators, also when this VM is lost just now.
+        # The queue entry is written before the job's record, so that the
+        # coordinators find every accepted job even if this VM is lost
+        # between the two writes.
         if not self._queue.add(entry):
             return result.Err(jobqueue.unavailable())
         put = self._keyvalue.put(
             batchrecords.job_key(record.job), batchrecords.dump(record), 0
         )
         if isinstance(put, result.Err):
-            return self._settle(record, put.err_value)
-        # Whether it is still there is asked last: a VM paused for long in
-        # between finds that its entry was dropped as an orphan.
+            return self._resolve_failed_put(record, put.err_value)
+        # If this VM was paused for long between the two writes, the entry
+        # may have been deleted as an orphan, and no coordinator would find
+        # the job.
         if not self._queue.has(entry):
             return result.Err(jobqueue.unavailable("unknown"))
         self._queue.notify(entry)
         return result.Ok(jobviews.describe(record, None))
 
-    def _settle(
+    def _resolve_failed_put(
         self, record: batchrecords.JobRecord, error: services.KeyValueError
     ) -> result.Result[dict[str, Any], services.Refusal]:
         if error.kind == "unavailable":
             return result.Err(jobqueue.unavailable())
         if error.kind == "unknown" or error.current is None:
             return result.Err(jobqueue.unavailable("unknown"))
-        held = batchrecords.load(batchrecords.JobRecord, error.current.value)
-        if held.digest != record.digest:
+        stored = batchrecords.load(batchrecords.JobRecord, error.current.value)
+        if stored.digest != record.digest:
             refusal = services.Refusal(
                 422,
                 "idempotency_key_reused",
-                "The key came with another job before.",
+                "The idempotency key was used for another job.",
             )
             return result.Err(refusal)
-        self._queue.notify(jobqueue.entry(held, self._clock.wall_s()))
-        return self._show(held)
+        self._queue.notify(jobqueue.entry(stored, self._clock.wall_s()))
+        return self._show(stored)
 
     # Showing jobs.
 
@@ -183,10 +191,10 @@
         self, request: httpd.Request, principal: services.Principal
     ) -> httpd.Response:
         job = request.path[len(PATH) + 1 :]
-        record = self._read(job, principal.customer.customer)
-        if isinstance(record, result.Err):
-            return refusals.response(record.err_value)
-        return _respond(self._show(record.ok_value.record))
+        stored = self._read(job, principal.customer.customer)
+        if isinstance(stored, result.Err):
+            return refusals.response(stored.err_value)
+        return _to_response(self._show(stored.ok_value.record))
 
     def _list(
         self, request: httpd.Request, principal: services.Principal
@@ -205,24 +213,24 @@
         entries = self._keyvalue.list(batchrecords.job_key(prefix))
         if isinstance(entries, result.Err):
             return refusals.response(jobqueue.unavailable())
-        held = [
+        records = [
             record
             for entry in entries.ok_value
-            if (record := _load(entry)) is not None
+            if (record := _load_record(entry)) is not None
             and (not customer or record.customer == customer)
         ]
-        return httpd.json_response(200, jobviews.page(held, request.query))
+        return httpd.json_response(200, jobviews.page(records, request.query))
 
     def _operators_get(self, request: httpd.Request) -> httpd.Response:
         job = request.path[len(OPERATORS_PATH) + 1 :]
-        record = self._read(job, "")
-        if isinstance(record, result.Err):
-            return refusals.response(record.err_value)
-        held = record.ok_value.record
-        shown = self._show(held)
+        stored = self._read(job, "")
+        if isinstance(stored, result.Err):
+            return refusals.response(stored.err_value)
+        record = stored.ok_value.record
+        shown = self._show(record)
         if isinstance(shown, result.Ok):
-            shown.ok_value["customer"] = held.customer
-        return _respond(shown)
+            shown.ok_value["customer"] = record.customer
+        return _to_response(shown)
 
     def _show(
         self, record: batchrecords.JobRecord
@@ -232,16 +240,17 @@
         chunks = self._keyvalue.list(batchrecords.chunk_prefix(record.job))
         if isinstance(chunks, result.Err):
             return result.Err(jobqueue.unavailable())
-        # The job may have ended and its chunks been cleaned up meanwhile.
-        again = self._read(record.job, "")
-        if isinstance(again, result.Ok) and again.ok_value.record.has_ended:
-            return result.Ok(jobviews.describe(again.ok_value.record, None))
+        # The job may have ended since `record` was read, and its chunk
+        # records may have been deleted.
+        reread = self._read(record.job, "")
+        if isinstance(reread, result.Ok) and reread.ok_value.record.has_ended:
+            return result.Ok(jobviews.describe(reread.ok_value.record, None))
         counts = jobviews.count(chunks.ok_value)
         return result.Ok(jobviews.describe(record, counts))
 
     def _read(
         self, job: str, customer: str
-    ) -> result.Result[jobqueue.Held, services.Refusal]:
+    ) -> result.Result[jobqueue.StoredJob, services.Refusal]:
         if not batchrecords.is_job(job):
             return result.Err(refusals.not_found(f"No batch {job}."))
         entry = self._keyvalue.get(batchrecords.job_key(job))
@@ -249,10 +258,10 @@
             return result.Err(jobqueue.unavailable())
         if entry.ok_value is None:
             return result.Err(refusals.not_found(f"No batch {job}."))
-        record = _load(entry.ok_value)
+        record = _load_record(entry.ok_value)
         if record is None or (customer and record.customer != customer):
             return result.Err(refusals.not_found(f"No batch {job}."))
-        return result.Ok(jobqueue.Held(record, entry.ok_value.revision))
+        return result.Ok(jobqueue.StoredJob(record, entry.ok_value.revision))
 
     # Cancelling.
 
@@ -266,19 +275,19 @@
         return self._respond_cancel(request.path[len(OPERATORS_PATH) + 1 :], "")
 
     def _respond_cancel(self, rest: str, customer: str) -> httpd.Response:
-        job, _, verb = rest.partition("/")
-        if verb != "cancel":
+        job, _, action = rest.partition("/")
+        if action != "cancel":
             return refusals.response(refusals.not_found("No such path."))
-        held = self._read(job, customer)
-        if isinstance(held, result.Err):
-            return refusals.response(held.err_value)
-        cancelled = self._canceller.cancel(held.ok_value)
+        stored = self._read(job, customer)
+        if isinstance(stored, result.Err):
+            return refusals.response(stored.err_value)
+        cancelled = self._canceller.cancel(stored.ok_value)
         if isinstance(cancelled, result.Err):
             return refusals.response(cancelled.err_value)
-        return _respond(self._show(cancelled.ok_value))
+        return _to_response(self._show(cancelled.ok_value))
 
 
-def _load(entry: services.Entry) -> batchrecords.JobRecord | None:
+def _load_record(entry: services.Entry) -> batchrecords.JobRecord | None:
     try:
         return batchrecords.load(batchrecords.JobRecord, entry.value)
     except codec.CodecError as error:
@@ -286,7 +295,7 @@
         return None
 
 
-def _respond(
+def _to_response(
     shown: result.Result[dict[str, Any], services.Refusal],
 ) -> httpd.Response:
     if isinstance(shown, result.Err):
--- a/packages/daemon/bulrushdeald/jobview.py
+++ b/packages/daemon/bulrushdeald/jobview.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of one job's chunks."""
+"""A coordinator's view of one job and the states of its chunks."""
 
 from collections.abc import Mapping
 from typing import Any, Literal, NamedTuple
@@ -6,23 +6,25 @@
 from bulrushdeald import batchmessages
 from bulrushdeald import batchrecords
 
-# An offer that was not taken up in this time may be made to another VM.
-_OFFER_S = 10.0
+# A chunk that is not claimed within this time may be offered again.
+_OFFER_TIMEOUT_S = 10.0
 
 
 State = Literal["free", "offered", "running", "ended"]
 
 
 class ChunkView(NamedTuple):
-    """One chunk as last heard of.
+    """The last reported state of one chunk.
 
     Attributes:
-        state: `free` may be offered; `offered` was, and nothing heard since.
-        epoch: Of the record; the next claim is under the one above.
-        revision: Of the record; 0 if there is none.
-        vm: Who runs it.
-        incarnation: In which run of its process.
-        since_s: When the state was last confirmed.
+        state: A `free` chunk may be offered. An `offered` chunk was offered
+            to a VM that has not reported a claim yet.
+        epoch: The record's epoch; the next claim uses the epoch above it.
+        revision: The record's revision; 0 if there is no record.
+        vm: The VM that runs the chunk, or empty.
+        incarnation: The run of that VM's process.
+        since_s: Monotonic time of the offer or of the holder's last
+            confirmation.
     """
 
     state: State = "free"
@@ -37,13 +39,13 @@
 
 
 class JobView:
-    """One job; not safe for threads by itself."""
+    """A job and its chunks; not thread-safe."""
 
     def __init__(self, entry: batchrecords.QueueEntry) -> None:
         self.entry = entry
-        # Made when the job is read: most jobs only wait in the queue.
+        # Filled when the job is read: most jobs only wait in the queue.
         self.chunks: list[ChunkView] = []
-        self._numbers: dict[State, set[int]] = {
+        self._numbers_by_state: dict[State, set[int]] = {
             "free": set(),
             "offered": set(),
             "running": set(),
@@ -56,7 +58,7 @@
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether no chunk of it may be offered."""
+        """Whether the job was cancelled or has ended; no chunk is offered."""
         if self.record is None:
             return self.entry.is_cancelled
         return self.record.state != "in_progress"
@@ -65,89 +67,106 @@
         self,
         record: batchrecords.JobRecord,
         revision: int,
-        known: Mapping[int, "KnownRecord"],
+        chunk_records: Mapping[int, "KnownRecord"],
         now_s: float,
     ) -> None:
-        """Takes in the job's record and all chunk records there are."""
+        """Updates the view from the job's record and its chunk records.
+
+        Args:
+            record: The job's record.
+            revision: The revision of `record`.
+            chunk_records: The existing chunk records by chunk number.
+            now_s: Monotonic time.
+        """
         self.record = record
         self.revision = revision
         if len(self.chunks) != record.chunk_count:
-            # Two clients sent different jobs under one key at once: the
-            # queue entry of one may stand beside the job of the other.
+            # If two clients submit different jobs under one idempotency key
+            # at once, the queue entry may be from one client and the job's
+            # record from the other.
             self.entry = self.entry._replace(
                 items=record.items, chunk_count=record.chunk_count
             )
             self.chunks = [_FREE] * record.chunk_count
-            for numbers in self._numbers.values():
+            for numbers in self._numbers_by_state.values():
                 numbers.clear()
-            self._numbers["free"].update(range(record.chunk_count))
+            self._numbers_by_state["free"].update(range(record.chunk_count))
         for number, view in enumerate(self.chunks):
-            chunk = known.get(number)
-            # A VM may have reported something newer than what was read, and
-            # a chunk taken back from its holder stays free; but of a
-            # cancelled job nobody will claim it, so its record counts.
+            chunk = chunk_records.get(number)
+            # A VM may have reported a newer revision than the one read. At
+            # the same revision, the state in memory wins: a chunk taken back
+            # from a lost holder stays free although its record says
+            # `running`. No VM claims a chunk of a cancelled job, so there
+            # the record wins.
             if chunk is None or chunk.revision < view.revision:
                 continue
             if chunk.revision > view.revision or self.is_cancelled:
-                self._set(number, _view(chunk, now_s))
+                self._set_chunk(number, _chunk_view(chunk, now_s))
         self.has_to_reload = False
         if self.is_cancelled and self.cancelled_since_s is None:
             self.cancelled_since_s = now_s
 
     def reload(self) -> None:
-        """Asks for the records to be read again."""
+        """Marks the job's records to be read again."""
         self.has_to_reload = True
 
     def dump(self) -> Any:
-        """Returns the states for people."""
+        """Returns the number of chunks in each state."""
         return {
             "customer": self.entry.customer,
             "cancelled": self.is_cancelled,
             "chunks": {
-                state: len(numbers) for state, numbers in self._numbers.items()
+                state: len(numbers)
+                for state, numbers in self._numbers_by_state.items()
             },
         }
 
     def offer(self, now_s: float) -> batchmessages.Offer | None:
-        """Returns the first chunk that may be claimed."""
+        """Marks the first free chunk as offered and returns the offer."""
         if self.is_cancelled or self.has_to_reload:
             return None
-        number = min(self._numbers["free"], default=None)
+        number = min(self._numbers_by_state["free"], default=None)
         if number is None:
             return None
         view = self.chunks[number]
-        self._set(number, view._replace(state="offered", since_s=now_s))
+        self._set_chunk(number, view._replace(state="offered", since_s=now_s))
         return batchmessages.Offer(
             self.entry.job, number, view.epoch + 1, view.revision
         )
 
-    def has_free(self) -> bool:
-        """Tells whether a chunk may be offered."""
+    def has_free_chunk(self) -> bool:
+        """Returns whether a chunk may be offered."""
         if self.is_cancelled or self.has_to_reload:
             return False
-        return bool(self._numbers["free"])
+        return bool(self._numbers_by_state["free"])
 
     def has_ended(self) -> bool:
-        """Tells whether each chunk is thought to have ended."""
+        """Returns whether no chunk is left to run, as far as is known.
+
+        `finishing` checks the records before it ends the job: a chunk taken
+        back from a silent holder counts as free here although its record
+        still says `running`.
+        """
         if self.record is not None and self.record.has_ended:
             return True
         if self.is_cancelled:
-            return not self._numbers["running"]
-        return len(self._numbers["ended"]) == len(self.chunks)
+            return not self._numbers_by_state["running"]
+        return len(self._numbers_by_state["ended"]) == len(self.chunks)
 
-    def hold(
+    def record_holding(
         self,
         holding: batchmessages.Holding,
         vm: str,
         incarnation: str,
         now_s: float,
     ) -> bool:
-        """Notes that a VM says it runs a chunk.
+        """Records that a VM reports to run a chunk.
 
         Returns:
-            Whether it may: another VM's claim has a newer revision.
+            Whether the VM may go on; False if the view has a newer revision
+            of the chunk or the job has no such chunk.
         """
-        view = self._known(holding.chunk)
+        view = self._find_chunk(holding.chunk)
         if view is None or holding.revision < view.revision:
             return False
         if view.state == "ended":
@@ -160,79 +179,89 @@
             incarnation,
             now_s,
         )
-        self._set(holding.chunk, held)
+        self._set_chunk(holding.chunk, held)
         return True
 
-    def end(self, ended: batchmessages.Ended) -> None:
-        """Notes that a VM no longer runs a chunk."""
-        view = self._known(ended.chunk)
+    def record_end(self, ended: batchmessages.Ended) -> None:
+        """Records that a VM no longer runs a chunk."""
+        view = self._find_chunk(ended.chunk)
         if view is None:
             return
         if ended.revision <= view.revision:
             self.has_to_reload |= ended.state == "unsure"
             return
-        # A chunk is void for its holder only if the job was cancelled.
+        # A chunk is void only if its job was cancelled.
         self.has_to_reload |= ended.state == "void"
         state: Literal["free", "ended"] = (
             "free" if ended.state == "open" else "ended"
         )
-        self._set(ended.chunk, ChunkView(state, ended.epoch, ended.revision))
+        self._set_chunk(
+            ended.chunk, ChunkView(state, ended.epoch, ended.revision)
+        )
 
-    def _set(self, chunk: int, view: ChunkView) -> None:
-        # Kept by state as well: most jobs have far more chunks than run.
-        self._numbers[self.chunks[chunk].state].discard(chunk)
-        self._numbers[view.state].add(chunk)
-        self.chunks[chunk] = view
+    def _set_chunk(self, number: int, view: ChunkView) -> None:
+        # The index by state avoids scans: most jobs have far more chunks
+        # than run at a time.
+        self._numbers_by_state[self.chunks[number].state].discard(number)
+        self._numbers_by_state[view.state].add(number)
+        self.chunks[number] = view
 
-    def _known(self, chunk: int) -> ChunkView | None:
-        if 0 <= chunk < len(self.chunks):
-            return self.chunks[chunk]
+    def _find_chunk(self, number: int) -> ChunkView | None:
+        if 0 <= number < len(self.chunks):
+            return self.chunks[number]
         return None
 
     def expire_offers(self, now_s: float) -> None:
-        """Asks for a reload if an offer was not taken up."""
-        for number in tuple(self._numbers["offered"]):
+        """Frees chunks whose offers were not claimed in time, and reloads."""
+        for number in tuple(self._numbers_by_state["offered"]):
             view = self.chunks[number]
-            if now_s - view.since_s > _OFFER_S:
-                self._set(number, view._replace(state="free"))
+            if now_s - view.since_s > _OFFER_TIMEOUT_S:
+                self._set_chunk(number, view._replace(state="free"))
                 self.has_to_reload = True
 
     def running(self) -> list[tuple[int, ChunkView]]:
-        """Returns the chunks that are thought to run."""
+        """Returns the numbers and views of the chunks in state `running`."""
         return [
             (number, self.chunks[number])
-            for number in sorted(self._numbers["running"])
+            for number in sorted(self._numbers_by_state["running"])
         ]
 
     def confirm(self, chunk: int, now_s: float) -> None:
-        """Notes that the holder was asked and still runs a chunk."""
-        self._set(chunk, self.chunks[chunk]._replace(since_s=now_s))
+        """Records that the holder confirmed to run a chunk."""
+        self._set_chunk(chunk, self.chunks[chunk]._replace(since_s=now_s))
 
     def take_back(self, chunk: int, held: ChunkView) -> None:
-        """Lets a chunk be claimed whose holder is gone."""
+        """Frees a chunk whose holder is lost.
+
+        Args:
+            chunk: The chunk's number.
+            held: The chunk as it was when the holder was found lost. If the
+                chunk has changed since, it is left alone; a confirmation
+                does not count as a change.
+        """
         if self.chunks[chunk]._replace(since_s=held.since_s) != held:
             return
-        self._set(chunk, ChunkView("free", held.epoch, held.revision))
+        self._set_chunk(chunk, ChunkView("free", held.epoch, held.revision))
 
 
 class KnownRecord(NamedTuple):
-    """A chunk's record and its revision."""
+    """A chunk's record and its revision in the key-value service."""
 
     record: batchrecords.ChunkRecord
     revision: int
 
 
-def _view(known: KnownRecord, now_s: float) -> ChunkView:
-    record = known.record
+def _chunk_view(stored: KnownRecord, now_s: float) -> ChunkView:
+    record = stored.record
     if record.state in ("done", "void"):
-        return ChunkView("ended", record.epoch, known.revision)
+        return ChunkView("ended", record.epoch, stored.revision)
     if record.state == "open":
-        return ChunkView("free", record.epoch, known.revision)
-    # The holder has yet to report.
+        return ChunkView("free", record.epoch, stored.revision)
+    # The coordinator has no report from the holder yet.
     return ChunkView(
         "running",
         record.epoch,
-        known.revision,
+        stored.revision,
         record.vm,
         record.incarnation,
         now_s,
--- a/packages/daemon/bulrushdeald/jobviews.py
+++ b/packages/daemon/bulrushdeald/jobviews.py
@@ -1,4 +1,4 @@
-"""Batch jobs in the shape that the usual client libraries know."""
+"""Formats batch jobs as OpenAI-style JSON for client libraries."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any, NamedTuple
@@ -14,33 +14,36 @@
 
 
 class Counts(NamedTuple):
-    """Items that have ended so far."""
+    """The numbers of items that have succeeded and failed so far."""
 
     completed: int
     failed: int
 
 
 def count(entries: Iterable[services.Entry]) -> Counts:
-    """Adds up the chunks that are done."""
-    done = [
+    """Returns the item counts of all chunks that are done."""
+    chunk_results = [
         record.result
-        for record in _records(entries)
+        for record in _load_chunks(entries)
         if record.result is not None
     ]
     return Counts(
-        sum(one.completed for one in done), sum(one.failed for one in done)
+        sum(done.completed for done in chunk_results),
+        sum(done.failed for done in chunk_results),
     )
 
 
 def holders(entries: Iterable[services.Entry]) -> tuple[str, ...]:
-    """Returns the VMs that run chunks."""
+    """Returns the VMs that run chunks, sorted by name."""
     vms = {
-        record.vm for record in _records(entries) if record.state == "running"
+        record.vm
+        for record in _load_chunks(entries)
+        if record.state == "running"
     }
     return tuple(sorted(vms))
 
 
-def _records(
+def _load_chunks(
     entries: Iterable[services.Entry],
 ) -> list[batchrecords.ChunkRecord]:
     records = []
@@ -56,7 +59,13 @@
 def describe(
     record: batchrecords.JobRecord, counts: Counts | None
 ) -> dict[str, Any]:
-    """Returns a job; `counts` are needed while it has not ended."""
+    """Returns a job in the JSON shape of the batch API.
+
+    Args:
+        record: The job's record.
+        counts: The item counts so far; None takes them from `record`, where
+            they are 0 until the job has ended.
+    """
     counted = counts or Counts(record.completed, record.failed)
     has_results = record.results is not None
     ended = int(record.ended_wall_s) or None
@@ -102,16 +111,19 @@
     """Returns one page of jobs, the newest first.
 
     Args:
-        records: All of them.
-        query: May have `limit` and `after`, the last job seen.
+        records: All jobs to list.
+        query: The URL query. It may have `limit`, the page size, and `after`,
+            the ID of the last job of the previous page.
     """
-    asked = urllib.parse.parse_qs(query)
-    limit = _limit(asked.get("limit", [""])[0])
-    newest = sorted(records, key=lambda one: (-one.created_wall_s, one.job))
-    after = asked.get("after", [""])[0]
-    names = [record.job for record in newest]
-    begin = names.index(after) + 1 if after in names else 0
-    shown = newest[begin : begin + limit]
+    parameters = urllib.parse.parse_qs(query)
+    page_size = _page_size(parameters.get("limit", [""])[0])
+    newest = sorted(
+        records, key=lambda listed: (-listed.created_wall_s, listed.job)
+    )
+    after = parameters.get("after", [""])[0]
+    ids = [record.job for record in newest]
+    begin = ids.index(after) + 1 if after in ids else 0
+    shown = newest[begin : begin + page_size]
     return {
         "object": "list",
         "data": [
@@ -120,11 +132,11 @@
         ],
         "first_id": shown[0].job if shown else None,
         "last_id": shown[-1].job if shown else None,
-        "has_more": begin + limit < len(newest),
+        "has_more": begin + page_size < len(newest),
     }
 
 
-def _limit(text: str) -> int:
+def _page_size(text: str) -> int:
     if not text.isdigit() or not int(text):
         return _DEFAULT_LIMIT
     return min(int(text), _MAX_LIMIT)
--- a/packages/daemon/bulrushdeald/multipart.py
+++ b/packages/daemon/bulrushdeald/multipart.py
@@ -1,4 +1,4 @@
-"""Reads a `multipart/form-data` upload piece by piece."""
+"""Parses `multipart/form-data` uploads as a stream."""
 
 from collections.abc import Iterator
 import email.message
@@ -8,21 +8,22 @@
 from bulrushdeal import httpd
 
 _READ_BYTES = 64 * 1024
-_MAX_HEAD_BYTES = 8 * 1024
+_MAX_HEADERS_BYTES = 8 * 1024
 _MAX_PARTS = 16
 
 
 class MultipartError(Exception):
-    """The upload is not what its content type says; told to the caller."""
+    """The upload is not a valid form; the message goes to the caller."""
 
 
 class Part(NamedTuple):
-    """One field of a form; its body has to be read before the next part.
+    """One field of a form.
 
     Attributes:
         name: The field's name.
         filename: The file's name as the caller gave it, or empty.
-        body: Yields the content.
+        body: Yields the content. It is only valid until the next part is
+            requested, which skips the rest.
     """
 
     name: str
@@ -31,73 +32,76 @@
 
 
 class Reader:
-    """Yields the parts of one form."""
+    """Parses one form."""
 
     def __init__(self, body: httpd.BodyReader, content_type: str) -> None:
         self._body = body
-        # The first delimiter has no line end before it; add one, so that
-        # all look the same.
-        self._held = b"\r\n"
-        self._delimiter = b"\r\n--" + _boundary(content_type)
+        # The first delimiter has no CRLF before it. Adding one lets the same
+        # search find all delimiters.
+        self._buffer = b"\r\n"
+        self._delimiter = b"\r\n--" + _parse_boundary(content_type)
         self._has_ended = False
 
     def parts(self) -> Iterator[Part]:
-        """Yields each part.
+        """Yields the parts in order.
 
         Raises:
-            MultipartError: The form is cut off or malformed.
+            MultipartError: The form is cut off, malformed or has too many
+                parts.
         """
-        for _ in self._until_delimiter():
+        for _ in self._read_until_delimiter():
             pass
         for _ in range(_MAX_PARTS):
-            if self._is_last():
+            if self._is_final_delimiter():
                 return
-            name, filename = _disposition(self._head())
-            body = self._until_delimiter()
+            name, filename = _parse_disposition(self._read_headers())
+            body = self._read_until_delimiter()
             yield Part(name, filename, body)
             for _ in body:
                 pass
         raise MultipartError("The form has too many parts.")
 
-    def _more(self) -> bool:
+    def _read_more(self) -> bool:
         data = self._body.read(_READ_BYTES)
-        self._held += data
+        self._buffer += data
         return bool(data)
 
-    def _until_delimiter(self) -> Iterator[bytes]:
+    def _read_until_delimiter(self) -> Iterator[bytes]:
         while True:
-            end = self._held.find(self._delimiter)
+            end = self._buffer.find(self._delimiter)
             if end >= 0:
-                data = self._held[:end]
-                self._held = self._held[end + len(self._delimiter) :]
+                data = self._buffer[:end]
+                self._buffer = self._buffer[end + len(self._delimiter) :]
                 if data:
                     yield data
                 return
-            # The held end may be the beginning of a delimiter.
-            safe = len(self._held) - len(self._delimiter)
+            # The end of the buffer may be the beginning of a delimiter.
+            safe = len(self._buffer) - len(self._delimiter)
             if safe > 0:
-                data = self._held[:safe]
-                self._held = self._held[safe:]
+                data = self._buffer[:safe]
+                self._buffer = self._buffer[safe:]
                 yield data
-            if not self._more():
+            if not self._read_more():
                 raise MultipartError("The form is cut off.")
 
-    def _is_last(self) -> bool:
-        while len(self._held) < 2:  # noqa: PLR2004 - two bytes tell.
-            if not self._more():
+    def _is_final_delimiter(self) -> bool:
+        while len(self._buffer) < 2:  # noqa: PLR2004 - "--" or CRLF.
+            if not self._read_more():
                 raise MultipartError("The form is cut off.")
-        return self._held.startswith(b"--")
+        return self._buffer.startswith(b"--")
 
-    def _head(self) -> bytes:
-        while (end := self._held.find(b"\r\n\r\n")) < 0:
-            if len(self._held) > _MAX_HEAD_BYTES or not self._more():
-                raise MultipartError("A part has no readable head.")
-        head = self._held[:end]
-        self._held = self._held[end + 4 :]
-        return head
+    def _read_headers(self) -> bytes:
+        while (end := self._buffer.find(b"\r\n\r\n")) < 0:
+            if len(self._buffer) > _MAX_HEADERS_BYTES or not self._read_more():
+                raise MultipartError(
+                    "The headers of a part are too long or cut off."
+                )
+        headers = self._buffer[:end]
+        self._buffer = self._buffer[end + 4 :]
+        return headers
 
 
-def _boundary(content_type: str) -> bytes:
+def _parse_boundary(content_type: str) -> bytes:
     message = email.message.Message()
     message["Content-Type"] = content_type
     boundary = message.get_param("boundary")
@@ -107,8 +111,8 @@
     return boundary.encode()
 
 
-def _disposition(head: bytes) -> tuple[str, str]:
-    text = head.decode("utf-8", "replace")
+def _parse_disposition(headers: bytes) -> tuple[str, str]:
+    text = headers.decode("utf-8", "replace")
     match = re.search(r"(?im)^content-disposition:(.*)$", text)
     if match is None:
         raise MultipartError("A part has no Content-Disposition.")
--- a/packages/daemon/bulrushdeald/orders.py
+++ b/packages/daemon/bulrushdeald/orders.py
@@ -1,4 +1,4 @@
-"""Reads requests for batch jobs and names the jobs."""
+"""Parses requests to create batch jobs and derives the jobs' IDs."""
 
 from collections.abc import Mapping
 import hashlib
@@ -14,13 +14,21 @@
 from bulrushdeald import services
 
 MAX_BODY_BYTES = 64 * 1024
-_MAX_METADATA = 16
+_MAX_METADATA_PAIRS = 16
 _WINDOW = re.compile(r"^([1-9][0-9]{0,3})([hm])$")
 _UNIT_S = {"h": 3600.0, "m": 60.0}
 
 
-class Order(NamedTuple):
-    """A checked request for a job."""
+class JobRequest(NamedTuple):
+    """A validated request to create a job.
+
+    Attributes:
+        input_file: The ID of the input file.
+        path: The API path that each item calls.
+        window: The completion window as the caller wrote it, such as `24h`.
+        window_s: The completion window in seconds.
+        metadata: The caller's own key-value pairs.
+    """
 
     input_file: str
     path: str
@@ -30,7 +38,7 @@
 
 
 def job_id(customer: str, key: str) -> str:
-    """Returns the ID of a new job: the same for the same key."""
+    """Returns a new job's ID; equal for equal non-empty idempotency keys."""
     tag = batchrecords.customer_tag(customer)
     if not key:
         return f"batch_{tag}{secrets.token_hex(12)}"
@@ -38,17 +46,23 @@
     return f"batch_{tag}{digest[:24]}"
 
 
-def digest(order: Order, file: batchrecords.FileRecord) -> str:
-    """Returns what tells a resent request from another one."""
-    # The file's content counts, not its ID: a client that lost both answers
-    # sends the file again, gets another ID and still means the same job.
-    asked = [file.digest, order.path, order.window, dict(order.metadata)]
-    text = json.dumps(asked, sort_keys=True)
+def digest(job_request: JobRequest, file: batchrecords.FileRecord) -> str:
+    """Returns a hash that is equal for a request that is sent again."""
+    # The hash covers the file's content and not its ID: a client that lost
+    # the responses to upload and request uploads the file again, gets
+    # another ID and still requests the same job.
+    parts = [
+        file.digest,
+        job_request.path,
+        job_request.window,
+        dict(job_request.metadata),
+    ]
+    text = json.dumps(parts, sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def read(body: bytes) -> result.Result[Order, services.Refusal]:
-    """Checks the body of a request for a job."""
+def parse(body: bytes) -> result.Result[JobRequest, services.Refusal]:
+    """Parses and validates the body of a request to create a job."""
     if len(body) > MAX_BODY_BYTES:
         return result.Err(
             services.Refusal(413, "too_large", "The request is too large.")
@@ -65,15 +79,15 @@
             return result.Err(refusals.bad_input(message, field))
     window = _WINDOW.match(str(value.get("completion_window")))
     if window is None:
-        message = "A time such as 24h or 90m is required."
+        message = "A duration such as 24h or 90m is required."
         return result.Err(refusals.bad_input(message, "completion_window"))
     metadata = value.get("metadata") or {}
-    if not _is_metadata(metadata):
-        message = f"At most {_MAX_METADATA} pairs of strings are allowed."
+    if not _is_valid_metadata(metadata):
+        message = f"At most {_MAX_METADATA_PAIRS} pairs of strings are allowed."
         return result.Err(refusals.bad_input(message, "metadata"))
     window_s = int(window.group(1)) * _UNIT_S[window.group(2)]
     return result.Ok(
-        Order(
+        JobRequest(
             value["input_file_id"],
             value["endpoint"],
             window.group(0),
@@ -83,7 +97,7 @@
     )
 
 
-def _is_metadata(metadata: Any) -> bool:
-    if not isinstance(metadata, dict) or len(metadata) > _MAX_METADATA:
+def _is_valid_metadata(metadata: Any) -> bool:
+    if not isinstance(metadata, dict) or len(metadata) > _MAX_METADATA_PAIRS:
         return False
     return all(isinstance(value, str) for value in metadata.values())
--- a/packages/daemon/bulrushdeald/splitter.py
+++ b/packages/daemon/bulrushdeald/splitter.py
@@ -1,4 +1,4 @@
-"""Checks the lines of a batch input file and groups them into chunks."""
+"""Validates the lines of a batch input file and groups them into chunks."""
 
 from collections.abc import Iterable, Iterator
 import hashlib
@@ -21,8 +21,8 @@
     """One line of an input file.
 
     Attributes:
-        custom_id: The caller's name for it, unique within the file.
-        call: What it asks a model for.
+        custom_id: The caller's ID for the item, unique within the file.
+        call: The API call to make.
     """
 
     custom_id: str
@@ -30,14 +30,24 @@
 
 
 class Chunk(NamedTuple):
-    """Consecutive lines as they came, and how many hold an item."""
+    """Consecutive lines of an input file.
+
+    Attributes:
+        data: The lines, byte for byte as they were uploaded.
+        items: The number of lines that are not blank.
+    """
 
     data: bytes
     items: int
 
 
 class SplitError(Exception):
-    """A line is wrong; carries the refusal that names it."""
+    """The input file is invalid.
+
+    Attributes:
+        refusal: Names the invalid line, unless the file as a whole is at
+            fault.
+    """
 
     def __init__(self, refusal: services.Refusal) -> None:
         super().__init__(refusal.message)
@@ -45,33 +55,46 @@
 
 
 class Splitter:
-    """Splits one file; its totals are known when `chunks` has ended."""
+    """Splits one file into chunks.
+
+    The attributes are complete when `chunks` is exhausted.
+
+    Attributes:
+        size_bytes: The file's length.
+        items: The number of items.
+        paths: The API paths that the items call.
+        models: The models that the items call.
+    """
 
     def __init__(self) -> None:
         self.size_bytes = 0
         self.items = 0
         self.paths: set[str] = set()
         self.models: set[str] = set()
-        self._line = 0
+        self._line_number = 0
         self._digest = hashlib.sha256()
-        # Hashes in place of the IDs: 88,000 long IDs would take much more.
-        self._seen: set[bytes] = set()
+        # Hashes of the IDs: 88,000 long IDs would take far more memory.
+        self._id_hashes: set[bytes] = set()
 
     @property
     def digest(self) -> str:
-        """SHA-256 of the whole content in hexadecimal."""
+        """The SHA-256 of the file's content in hexadecimal."""
         return self._digest.hexdigest()
 
     def chunks(self, body: Iterable[bytes]) -> Iterator[Chunk]:
         """Yields the chunks of a file.
 
+        Args:
+            body: The file's content, cut anywhere.
+
         Raises:
-            SplitError: A line is wrong, or there are too many or none.
+            SplitError: A line is invalid, or the file has no items or too
+                many items or models.
         """
         lines: list[bytes] = []
         size = items = 0
         for line in self._lines(body):
-            is_item = self._check(line)
+            is_item = self._check_line(line)
             is_full = (
                 items + is_item > batchrecords.MAX_CHUNK_ITEMS
                 or size + len(line) > batchrecords.MAX_CHUNK_BYTES
@@ -95,59 +118,65 @@
             for line in whole:
                 yield line + b"\n"
             if len(rest) > _MAX_LINE_BYTES:
-                raise self._error("The line is too long.", self._line + 1)
+                raise self._line_error(
+                    "The line is too long.", self._line_number + 1
+                )
         if rest:
             yield rest
 
-    def _check(self, line: bytes) -> bool:
-        self._line += 1
+    def _check_line(self, line: bytes) -> bool:
+        self._line_number += 1
         if not line.strip():
             return False
         if len(line) > _MAX_LINE_BYTES:
-            raise self._error("The line is too long.", self._line)
+            raise self._line_error("The line is too long.", self._line_number)
         item = parse(line)
         if isinstance(item, result.Err):
-            raise self._error(item.err_value.message, self._line)
-        self._check_new(item.ok_value.custom_id)
+            raise self._line_error(item.err_value.message, self._line_number)
+        self._check_unique(item.ok_value.custom_id)
         self.paths.add(item.ok_value.call.path)
         self.models.add(item.ok_value.call.model)
         if len(self.models) > _MAX_MODELS:
             message = f"More than {_MAX_MODELS} models."
-            raise self._error(message, self._line)
+            raise self._line_error(message, self._line_number)
         self.items += 1
         if self.items > batchrecords.MAX_JOB_ITEMS:
             limit = batchrecords.MAX_JOB_ITEMS
-            raise self._error(f"More than {limit} items.", self._line)
+            raise self._line_error(
+                f"More than {limit} items.", self._line_number
+            )
         return True
 
-    def _check_new(self, custom_id: str) -> None:
-        name = hashlib.blake2b(
+    def _check_unique(self, custom_id: str) -> None:
+        id_hash = hashlib.blake2b(
             custom_id.encode("utf-8", "surrogatepass"), digest_size=16
         ).digest()
-        if name in self._seen:
-            raise self._error("The custom_id stands twice.", self._line)
-        self._seen.add(name)
+        if id_hash in self._id_hashes:
+            raise self._line_error(
+                "The custom_id stands twice.", self._line_number
+            )
+        self._id_hashes.add(id_hash)
 
-    def _error(self, message: str, line: int) -> SplitError:
+    def _line_error(self, message: str, line: int) -> SplitError:
         refusal = refusals.bad_input(f"Line {line}: {message}", f"line {line}")
         return SplitError(refusal)
 
 
 def items_of(data: bytes) -> tuple[Item, ...]:
-    """Returns the items of a chunk that was checked before."""
+    """Returns the items of a chunk that passed a `Splitter`."""
     lines = data.split(b"\n")
     return tuple(parse(line).unwrap() for line in lines if line.strip())
 
 
 def parse(line: bytes) -> result.Result[Item, services.Refusal]:
-    """Returns the item that a line holds."""
+    """Parses and validates one line that is not blank."""
     try:
         value = json.loads(line)
     except (ValueError, RecursionError) as error:
         return result.Err(refusals.bad_input(f"not JSON: {error}"))
     if not isinstance(value, dict):
         return result.Err(refusals.bad_input("not a JSON object"))
-    problem = _problem(value)
+    problem = _find_problem(value)
     if problem:
         return result.Err(refusals.bad_input(problem))
     try:
@@ -164,7 +193,7 @@
     return result.Ok(Item(value["custom_id"], call.ok_value))
 
 
-def _problem(value: dict[str, Any]) -> str:
+def _find_problem(value: dict[str, Any]) -> str:
     custom_id = value.get("custom_id")
     if not isinstance(custom_id, str) or not custom_id:
         return "custom_id is required"
--- a/tests/daemon/test_batchcancel.py
+++ b/tests/daemon/test_batchcancel.py
@@ -1,4 +1,4 @@
-"""Tests of batch jobs that are cancelled while something fails."""
+"""Tests the cancellation of batch jobs during failures."""
 
 import pytest
 import result
@@ -13,9 +13,9 @@
 def test_claim_after_a_cancellation_runs_nothing(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A user cancels a job, sees it cancelled, and later finds it ran on: a
-    # VM was paused between the offer of a chunk and its claim, and by then
-    # the chunk's record was gone with the job's others, so the claim won.
+    # A chunk must not run after its job was cancelled. A VM was paused
+    # between the offer of the chunk and its claim. The chunk's record had
+    # been deleted with the job's other records, so the claim succeeded.
     job = batchscene.start(fleet)
     fleet.vms["vm0"].cancel("c", job)
     fleet.run(3)
@@ -31,8 +31,9 @@
 def test_cancelled_job_ends_without_its_holder(
     fleet: batchfakes.Fleet, cancelled_late: bool
 ) -> None:
-    # A job stays cancelling for ever: the VM that ran a chunk was lost, and
-    # the chunk taken back from it in memory kept its record as running.
+    # A job must not stay `cancelling` forever after the VM that ran a chunk
+    # is lost. The chunk was free in memory, but its record still said
+    # `running`.
     job = batchscene.start(fleet)
     batchscene.hold(fleet, "vm2")
     if cancelled_late:
@@ -49,11 +50,12 @@
     assert [key.split("/")[0] for key in left] == ["expiry", "jobs"]
 
 
-def test_cancelled_job_ends_though_an_item_does_not(
+def test_cancelled_job_ends_although_an_item_never_does(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A job stays cancelling for ever: its holder lives and says that it has
-    # the chunk, but an upstream never lets go of one item's stream.
+    # A job must not stay `cancelling` forever when its holder is alive and
+    # still reports the chunk because an upstream never ends the stream of
+    # one item.
     job = batchscene.start(fleet)
     holder = batchscene.hold(fleet, "vm2")
     fleet.network.silent.clear()
@@ -69,11 +71,12 @@
     assert batchscene.outcome(fleet, job) == before
 
 
-def test_job_does_not_end_while_a_record_runs(
+def test_job_does_not_end_while_a_chunk_record_is_running(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A cancelled job ends without answers that its holder is about to
-    # seal: the coordinator went by its memory in place of the records.
+    # A cancelled job must not end before its holder has sealed the answers.
+    # The coordinator relied on its view in memory and not on the chunk
+    # records.
     job = batchscene.start(fleet)
     fleet.vms["vm1"].claim(batchmessages.Offer(job, 1, 1, 0)).unwrap()
     fleet.vms["vm0"].cancel("c", job)
@@ -88,8 +91,8 @@
 def test_queue_entry_waits_for_its_job(
     fleet: batchfakes.Fleet, is_late: bool
 ) -> None:
-    # An accepted job never runs: its queue entry, which is written first,
-    # was taken for a leftover before the job's record was there.
+    # An accepted job must run. Its queue entry is written first and was
+    # deleted as an orphan before the job's record was written.
     job = batchscene.start(fleet)
     key = batchrecords.job_key(job)
     record = fleet.keyvalue.entries.pop(key)
@@ -104,22 +107,23 @@
     assert batchscene.outcome(fleet, job)[0] == "completed"
 
 
-def test_cancellation_that_is_not_known_is_not_confirmed(
+def test_unpublished_cancellation_is_not_confirmed(
     fleet: batchfakes.Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A user cancels a job, is told so, and it runs for hours: the platform
-    # went away after the decision, and no coordinator heard of it.
+    # A cancellation must not be confirmed while the job runs on. The
+    # platform's service failed after the cancellation was recorded, and no
+    # coordinator was notified.
     job = batchscene.start(fleet)
     put = fleet.keyvalue.put
 
-    def put_once(
+    def put_then_fail(
         key: str, value: bytes, expected_revision: int
     ) -> result.Result[int, services.KeyValueError]:
         written = put(key, value, expected_revision)
         fleet.keyvalue.has_outage = True
         return written
 
-    monkeypatch.setattr(fleet.keyvalue, "put", put_once)
+    monkeypatch.setattr(fleet.keyvalue, "put", put_then_fail)
     reply = fleet.vms["vm0"].cancel("c", job)
     assert reply.status == 503
     assert reply.json["error"]["ran"] == "unknown"
@@ -133,19 +137,19 @@
 def test_counts_do_not_fall_when_a_job_ends(
     fleet: batchfakes.Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A job shows 80,000 answered items, then none, then all: it ended
-    # between the read of the job and the read of its chunks.
+    # The count of answered items must not fall to 0 (seen at 80,000) when
+    # the job ends between the read of its record and of its chunk records.
     job = batchscene.start(fleet)
-    list_once = fleet.keyvalue.list
+    list_entries = fleet.keyvalue.list
 
-    def list_late(
+    def list_after_end(
         prefix: str,
     ) -> result.Result[tuple[services.Entry, ...], services.KeyValueError]:
-        monkeypatch.setattr(fleet.keyvalue, "list", list_once)
+        monkeypatch.setattr(fleet.keyvalue, "list", list_entries)
         fleet.run(15)
-        return list_once(prefix)
+        return list_entries(prefix)
 
-    monkeypatch.setattr(fleet.keyvalue, "list", list_late)
+    monkeypatch.setattr(fleet.keyvalue, "list", list_after_end)
     shown = fleet.vms["vm0"].show("c", job).json
     assert shown["status"] == "completed"
     assert shown["request_counts"]["completed"] == len(batchscene.PROMPTS)
@@ -154,8 +158,8 @@
 def test_frozen_holder_of_a_cancelled_job_stops(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A user sees a job cancelled, and an hour later it runs on: its holder
-    # was frozen, and when it came back no coordinator knew the job.
+    # A frozen holder must not continue a cancelled job. When the holder came
+    # back, an hour later, no coordinator had the job any more.
     job = batchscene.start(fleet)
     frozen = batchscene.hold(fleet, "vm2")
     sent = len(fleet.upstreams.prompts)
@@ -169,15 +173,16 @@
     assert len(fleet.upstreams.prompts) == sent
 
 
-def test_cancelling_keeps_what_a_leaving_vm_answered(
+def test_cancelling_keeps_the_answers_of_a_stopped_vm(
     fleet: batchfakes.Fleet,
 ) -> None:
-    # A user cancels a job after a planned restart, and answers that were
-    # paid for are gone: they waited for a next holder that never came.
+    # Answers that were paid for must not be lost when a job is cancelled
+    # after a planned restart. The stopped VM had left them for the next
+    # holder of the chunk, but a cancelled chunk gets none.
     job = batchscene.start(fleet)
-    leaving = batchscene.hold(fleet, "vm1")
+    stopped = batchscene.hold(fleet, "vm1")
     fleet.network.silent.clear()
-    leaving.worker.stop(1.0)
+    stopped.worker.stop(1.0)
     fleet.vms["vm0"].cancel("c", job)
     fleet.run(40)
     status, lines = batchscene.outcome(fleet, job)
--- a/tests/daemon/test_openai.py
+++ b/tests/daemon/test_openai.py
@@ -1,4 +1,4 @@
-"""The usual client library works as it is."""
+"""Tests completions with the unmodified OpenAI client library."""
 
 from collections.abc import Iterator
 import json
@@ -51,7 +51,9 @@
     assert [model.id for model in client.models.list()] == ["textbook"]
 
 
-def test_errors_are_the_library_s_own(client: openai.OpenAI) -> None:
+def test_errors_raise_the_exceptions_of_the_library(
+    client: openai.OpenAI,
+) -> None:
     with pytest.raises(openai.NotFoundError) as missing:
         client.completions.create(model="none", prompt="a")
     assert missing.value.code == "model_not_found"
@@ -68,9 +70,9 @@
 
 
 def test_stream_counts_its_prompt_without_showing_the_usage() -> None:
-    # The parent asks what was spent on prompts, and the report shows none
-    # for streams. Cause: an engine tells a stream's usage only if asked, and
-    # most callers do not ask; those must not see it either.
+    # Prompt tokens of streams must be counted in the usage report. An engine
+    # sends a stream's usage only on request. Most callers do not request it
+    # and must not receive it.
     server = engine.Engine(timing=pathfakes.FAST)
     server.start()
     row = pathfakes.engine_row(server.address)
--- a/tests/daemon/test_openaibatch.py
+++ b/tests/daemon/test_openaibatch.py
@@ -1,4 +1,4 @@
-"""The usual client library runs a batch as it is, over real threads."""
+"""Tests batch jobs with the unmodified OpenAI client and real threads."""
 
 from collections.abc import Iterator
 import json
@@ -39,12 +39,12 @@
     network.vms["vm"] = row
     front = callers.CallersServer(kernel, settings)
     services_in_order: tuple[tuple[str, Any], ...] = (
-        (services.KEYVALUE, Still(batchfakes.FakeKeyValue())),
+        (services.KEYVALUE, NoLifecycle(batchfakes.FakeKeyValue())),
         (
             services.MEMBERSHIP,
-            Still(batchfakes.FakeMembership(network, row, "run")),
+            NoLifecycle(batchfakes.FakeMembership(network, row, "run")),
         ),
-        (services.PEERS, Still(batchfakes.FakePeers(network, "vm"))),
+        (services.PEERS, NoLifecycle(batchfakes.FakePeers(network, "vm"))),
         (services.CONFIG, config),
         (services.LIMITS, staticvm.StaticLimits()),
         (services.USAGE, staticvm.StaticUsage()),
@@ -67,8 +67,8 @@
     address = f"http://127.0.0.1:{front.port}/v1"
     with openai.OpenAI(
         api_key=pathfakes.KEY, base_url=address, max_retries=0
-    ) as made:
-        yield made
+    ) as openai_client:
+        yield openai_client
     kernel.stop(2.0)
     server.stop()
 
@@ -83,8 +83,8 @@
         return 16
 
 
-class Still:
-    """A fake that is neither started nor stopped."""
+class NoLifecycle:
+    """Wraps a fake so that the kernel can start, stop and dump it."""
 
     def __init__(self, fake: Any) -> None:
         self._fake = fake
@@ -111,7 +111,7 @@
         completion_window="24h",
         metadata={"lesson": "7b"},
     )
-    # Bounded by the number of looks, not by a time measured.
+    # The bound is a number of polls, not a measured time.
     for _ in range(400):
         batch = client.batches.retrieve(batch.id)
         if batch.status == "completed":
@@ -130,12 +130,14 @@
     assert list(found) == list(prompts)
     for line in found.values():
         assert line["response"]["body"]["usage"]["completion_tokens"] > 0
-    assert [one.id for one in client.batches.list()] == [batch.id]
-    again = client.batches.cancel(batch.id)
-    assert again.status == "completed"
+    assert [listed.id for listed in client.batches.list()] == [batch.id]
+    cancelled = client.batches.cancel(batch.id)
+    assert cancelled.status == "completed"
 
 
-def test_errors_are_the_library_s_own(client: openai.OpenAI) -> None:
+def test_errors_raise_the_exceptions_of_the_library(
+    client: openai.OpenAI,
+) -> None:
     with pytest.raises(openai.BadRequestError) as bad:
         client.files.create(file=("a.jsonl", b"{}\n"), purpose="batch")
     assert bad.value.param == "line 1"
--- a/tests/daemon/test_splitter.py
+++ b/tests/daemon/test_splitter.py
@@ -1,4 +1,4 @@
-"""Tests of uploads: any way of cutting the bytes gives the same file."""
+"""Tests that uploads are parsed alike however the bytes are cut."""
 
 import io
 
@@ -11,12 +11,12 @@
 from bulrushdeald import splitter
 from support import batchfakes
 
-blank = st.sampled_from((b"", b"\n", b" \r\n"))
-words = st.text(min_size=1, max_size=40)
+blank_lines = st.sampled_from((b"", b"\n", b" \r\n"))
+prompt_texts = st.text(min_size=1, max_size=40)
 
 
-class Drip:
-    """A body that arrives in pieces of given sizes."""
+class ChunkedBody:
+    """A request body whose reads return pieces of the given sizes."""
 
     def __init__(self, data: bytes, sizes: list[int]) -> None:
         self._file = io.BytesIO(data)
@@ -27,24 +27,24 @@
 
 
 @given(
-    st.lists(st.tuples(words, blank), min_size=1, max_size=8),
+    st.lists(st.tuples(prompt_texts, blank_lines), min_size=1, max_size=8),
     st.lists(st.integers(1, 60), max_size=80),
     st.booleans(),
 )
 def test_upload_is_kept_byte_for_byte(
-    prompts: list[tuple[str, bytes]], sizes: list[int], is_cut: bool
+    prompts: list[tuple[str, bytes]], sizes: list[int], is_unterminated: bool
 ) -> None:
     data = b"".join(
         batchfakes.lines({f"i{n}": prompt}) + after
         for n, (prompt, after) in enumerate(prompts)
     )
-    data = data.rstrip(b"\n") if is_cut else data
+    data = data.rstrip(b"\n") if is_unterminated else data
     body, kind = batchfakes.form(data)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(batchrecords, "MAX_CHUNK_ITEMS", 3)
         split = splitter.Splitter()
         chunks: list[splitter.Chunk] = []
-        for part in multipart.Reader(Drip(body, sizes), kind).parts():
+        for part in multipart.Reader(ChunkedBody(body, sizes), kind).parts():
             if part.name == "file":
                 assert part.filename == "in.jsonl"
                 chunks = list(split.chunks(part.body))
@@ -58,13 +58,13 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 300))
-def test_any_upload_ends_in_parts_or_a_named_error(
-    noise: bytes, keep: int
+def test_any_upload_yields_parts_or_a_multipart_error(
+    noise: bytes, kept_bytes: int
 ) -> None:
     body, kind = batchfakes.form(b"x")
     try:
         for part in multipart.Reader(
-            io.BytesIO(body[:keep] + noise), kind
+            io.BytesIO(body[:kept_bytes] + noise), kind
         ).parts():
             for _ in part.body:
                 pass
