--- a/packages/daemon/bulrushdeald/crashnotices.py
+++ b/packages/daemon/bulrushdeald/crashnotices.py
@@ -1,4 +1,4 @@
-"""Tells peers which requests were running when an upstream crashed."""
+"""Notifies peers of requests that were running when an upstream crashed."""
 
 import itertools
 import random
@@ -11,16 +11,17 @@
 
 _log = logs.Log("router")
 
-# A crash is told before its caller gets an answer, so this bounds how long
-# an unreachable peer delays that answer.
+# Peers are notified of a crash before the caller gets its answer, so this
+# bounds how long an unreachable peer delays the answer.
 _CALL_TIMEOUT_S = 0.3
-_QUERY_EVERY_S = 10.0
-# How many VMs of another failure domain are told; they tell their own.
-_RELAYS = 2
+_QUERY_INTERVAL_S = 10.0
+# Number of VMs notified in each other failure domain; they relay the notice
+# within their domain.
+_RELAYS_PER_DOMAIN = 2
 
 
 class CrashNotices:
-    """Sends and takes `quarantine.CrashNotice` messages."""
+    """Sends and handles `quarantine.CrashNotice` messages."""
 
     def __init__(
         self,
@@ -31,26 +32,29 @@
     ) -> None:
         self._peers = peers
         self._membership = membership
-        self._crashes = crashes
+        self._quarantine = crashes
         self._lock = lock
         self._sequence = itertools.count()
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begins to answer, and asks peers what happened before."""
+        """Registers the message handlers and starts the query thread."""
         self._peers.understand(quarantine.CrashNotice)
-        self._peers.handle(quarantine.CrashNotice, self._take)
-        self._peers.handle(quarantine.CrashQuery, self._answer)
+        self._peers.handle(quarantine.CrashNotice, self._handle_notice)
+        self._peers.handle(quarantine.CrashQuery, self._handle_query)
         threading.Thread(
             target=self._query_peers, name="crash-query", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Ends the query thread soon."""
+        """Asks the query thread to end; does not wait for it."""
         self._stopping.set()
 
     def crashed(self, fingerprint: str) -> None:
-        """Notes a crash and returns when the reachable peers know of it."""
+        """Records a crash and notifies the peers.
+
+        Returns when the peers have answered or the call timeout has passed.
+        """
         if not fingerprint:
             return
         vm = self._membership.own().vm
@@ -59,30 +63,30 @@
             fingerprint, f"{crash_id}/{next(self._sequence)}"
         )
         with self._lock:
-            self._crashes.add(crash)
+            self._quarantine.add(crash)
         _log.warning("A request was running when an upstream crashed.")
-        self._tell((crash,))
+        self._notify_peers((crash,))
 
-    def _take(
+    def _handle_notice(
         self, vm: str, notice: quarantine.CrashNotice
     ) -> quarantine.CrashNotice:
         del vm
         with self._lock:
-            news = tuple(
-                crash for crash in notice.crashes if self._crashes.add(crash)
+            new = tuple(
+                crash for crash in notice.crashes if self._quarantine.add(crash)
             )
-        if notice.relay and news:
-            self._send(self._near(), quarantine.CrashNotice(news))
+        if notice.relay and new:
+            self._send(self._domain_peers(), quarantine.CrashNotice(new))
         return quarantine.CrashNotice(())
 
-    def _answer(
+    def _handle_query(
         self, vm: str, query: quarantine.CrashQuery
     ) -> quarantine.CrashNotice:
         del vm, query
         with self._lock:
-            return quarantine.CrashNotice(self._crashes.crashes())
+            return quarantine.CrashNotice(self._quarantine.crashes())
 
-    def _near(self) -> list[str]:
+    def _domain_peers(self) -> list[str]:
         own = self._membership.own()
         return [
             vm.vm
@@ -90,7 +94,7 @@
             if vm.failure_domain == own.failure_domain and vm.vm != own.vm
         ]
 
-    def _relays(self) -> list[str]:
+    def _choose_relays(self) -> list[str]:
         own = self._membership.own()
         by_domain: dict[str, list[records.Vm]] = {}
         for vm in self._membership.entry_vms():
@@ -99,26 +103,26 @@
         return [
             vm.vm
             for vms in by_domain.values()
-            for vm in random.sample(vms, min(_RELAYS, len(vms)))
+            for vm in random.sample(vms, min(_RELAYS_PER_DOMAIN, len(vms)))
         ]
 
-    def _tell(self, crashes: tuple[quarantine.Crash, ...]) -> None:
-        """Tells VMs of all failure domains and waits until they know.
+    def _notify_peers(self, crashes: tuple[quarantine.Crash, ...]) -> None:
+        """Notifies VMs of all failure domains and waits for their answers.
 
-        The failure: the caller of a request that crashed two engines sends it
-        again at once, to a VM of another domain that was not told yet, and it
-        crashes a third one.
+        Without the wait, the caller of a request that crashed two engines
+        could retry it at once through a VM of another domain that has not
+        been notified yet, and crash a third engine.
         """
-        sent = self._send(
-            self._relays(), quarantine.CrashNotice(crashes, True)
-        ) + self._send(self._near(), quarantine.CrashNotice(crashes))
-        for thread in sent:
+        threads = self._send(
+            self._choose_relays(), quarantine.CrashNotice(crashes, True)
+        ) + self._send(self._domain_peers(), quarantine.CrashNotice(crashes))
+        for thread in threads:
             thread.join(_CALL_TIMEOUT_S)
 
     def _send(
         self, vms: list[str], notice: quarantine.CrashNotice
     ) -> list[threading.Thread]:
-        """Sends a notice side by side; returns what waits for the answers."""
+        """Sends a notice to VMs in parallel; returns the sending threads."""
         threads = [
             threading.Thread(
                 target=self._peers.call,
@@ -133,12 +137,12 @@
         return threads
 
     def _query_peers(self) -> None:
-        """Learns what was missed while this VM was down or cut off."""
+        """Fetches crashes that this VM missed while it was down or cut off."""
         while not self._stopping.is_set():
-            others = self._near() or self._relays()
+            others = self._domain_peers() or self._choose_relays()
             if others:
                 self._query(random.choice(others))
-            self._stopping.wait(_QUERY_EVERY_S if others else 1.0)
+            self._stopping.wait(_QUERY_INTERVAL_S if others else 1.0)
 
     def _query(self, vm: str) -> None:
         answer = self._peers.call(vm, quarantine.CrashQuery(), 1.0)
@@ -146,4 +150,4 @@
             return
         with self._lock:
             for crash in answer.unwrap().crashes:
-                self._crashes.add(crash)
+                self._quarantine.add(crash)
--- a/packages/daemon/bulrushdeald/quarantine.py
+++ b/packages/daemon/bulrushdeald/quarantine.py
@@ -1,30 +1,30 @@
-"""Requests that were running when an upstream crashed.
-
-The failure: one request crashes each upstream that runs it, and its caller
-sends it again, through other VMs too. It shows as connections that break
-before the answer is whole. After a first crash a request is a suspect and
-runs only on an upstream where no other suspect runs, so that a second crash
-tells it from those that merely ran beside it. After a second crash it is
-refused at once. The guard holds on each VM that the notice of the crash
-reached; the notice is sent before the caller gets its answer.
+"""Tracks the requests that were running when an upstream crashed.
+
+A request may crash each upstream that runs it, and its caller may retry it,
+also through other VMs. Such a crash shows as a connection that breaks before
+the answer is complete. After one crash a request is a suspect and runs only
+on an upstream that runs no other suspect, so that a second crash separates it
+from requests that merely ran at the same time. After a second crash it is
+refused at once. This holds on each VM that the crash notice reached; the
+notice is sent before the caller gets its answer.
 """
 
 from typing import NamedTuple
 
 from bulrushdeal import clock as clock_lib
 
-CRASHES_ALLOWED = 2
-KEEP_S = 3600.0
-_MOST_KEPT = 10_000
+CRASHES_TO_REFUSE = 2
+RETENTION_S = 3600.0
+_MAX_REQUESTS = 10_000
 
 
 class Crash(NamedTuple):
-    """One crash of an upstream under a request.
+    """A crash of an upstream while it ran a request.
 
     Attributes:
-        fingerprint: Names the request; see `completions.fingerprint`.
-        crash_id: Unique, so that a notice that comes twice counts once.
-        age_s: How long ago it was, when it was told.
+        fingerprint: Identifies the request; see `completions.fingerprint`.
+        crash_id: Unique, so that a notice that arrives twice counts once.
+        age_s: Seconds from the crash until this record was made.
     """
 
     fingerprint: str
@@ -33,11 +33,12 @@
 
 
 class CrashNotice(NamedTuple):
-    """Tells a peer of crashes.
+    """A message that reports crashes to a peer.
 
     Attributes:
-        crashes: What happened.
-        relay: Whether the peer is to tell the VMs of its failure domain.
+        crashes: The crashes.
+        relay: Whether the peer forwards the crashes that are new to it to the
+            VMs of its failure domain.
     """
 
     crashes: tuple[Crash, ...]
@@ -45,37 +46,40 @@
 
 
 class CrashQuery(NamedTuple):
-    """Asks a peer for the crashes it knows of; answered by a notice."""
+    """Asks a peer for its recorded crashes; answered by a `CrashNotice`."""
 
 
 class Quarantine:
-    """Counts crashes by request; not thread-safe by itself."""
+    """Counts crashes by request; not thread-safe."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
         self._crashes: dict[str, dict[str, float]] = {}
 
     def add(self, crash: Crash) -> bool:
-        """Notes a crash; tells whether it was news."""
-        if not crash.fingerprint or crash.age_s > KEEP_S:
+        """Records a crash and returns whether it is a new one.
+
+        Ignores a crash without a fingerprint or older than `RETENTION_S`.
+        """
+        if not crash.fingerprint or crash.age_s > RETENTION_S:
             return False
         known = self._crashes.setdefault(crash.fingerprint, {})
         if crash.crash_id in known:
             return False
         known[crash.crash_id] = self._clock.monotonic_s() - crash.age_s
-        self._forget()
+        self._prune()
         return True
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tells whether the request ran when an upstream crashed."""
+        """Returns whether the request was running when an upstream crashed."""
         return fingerprint in self._crashes
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Tells whether the request is never to run again."""
-        return len(self._crashes.get(fingerprint, ())) >= CRASHES_ALLOWED
+        """Returns whether the request has crashed too often to run again."""
+        return len(self._crashes.get(fingerprint, ())) >= CRASHES_TO_REFUSE
 
     def crashes(self) -> tuple[Crash, ...]:
-        """Returns all that is known, for a peer that asks."""
+        """Returns all recorded crashes."""
         now_s = self._clock.monotonic_s()
         return tuple(
             Crash(fingerprint, crash_id, now_s - at_s)
@@ -83,8 +87,8 @@
             for crash_id, at_s in known.items()
         )
 
-    def _forget(self) -> None:
-        oldest_s = self._clock.monotonic_s() - KEEP_S
+    def _prune(self) -> None:
+        oldest_s = self._clock.monotonic_s() - RETENTION_S
         old = [
             fingerprint
             for fingerprint, known in self._crashes.items()
@@ -92,5 +96,5 @@
         ]
         for fingerprint in old:
             del self._crashes[fingerprint]
-        while len(self._crashes) > _MOST_KEPT:
+        while len(self._crashes) > _MAX_REQUESTS:
             del self._crashes[next(iter(self._crashes))]
--- a/packages/daemon/bulrushdeald/usablemodels.py
+++ b/packages/daemon/bulrushdeald/usablemodels.py
@@ -1,19 +1,20 @@
-"""Which models a VM has upstreams for that batch items may run on."""
+"""Tracks the models whose batch items this VM can run."""
 
 import threading
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeald import services
 
-# A model stays usable for so long after a slot was free or an item ran.
-_USABLE_S = 15.0
+# How long a model stays usable after a slot was last free or an item ended.
+_USABLE_FOR_S = 15.0
 
 
 class UsableModels:
-    """Remembers for which models there were slots of late.
+    """Records for which models this VM recently had batch slots.
 
-    Batch items only run on upstreams that their own VM owns. A chunk that a
-    VM claims for others' models would lie there and run nowhere.
+    A VM runs batch items only on upstreams that it owns. If it claimed a
+    chunk of a model that only other VMs' upstreams serve, the chunk would
+    never run.
     """
 
     def __init__(
@@ -26,18 +27,18 @@
         self._router = router
         self._clock = clock
         self._lock = threading.Lock()
-        self._usable_s: dict[str, float] = {}
+        self._last_usable_s: dict[str, float] = {}
 
     def note(self, model: str) -> None:
-        """Notes that an item of a model ended here."""
+        """Marks a model as usable now, as when one of its items ended."""
         with self._lock:
-            self._usable_s[model] = self._clock.monotonic_s()
+            self._last_usable_s[model] = self._clock.monotonic_s()
 
     def now(self) -> tuple[str, ...]:
-        """Returns the models of which a chunk may be claimed.
+        """Returns the models whose chunks this VM may claim, sorted.
 
-        Slots that are all taken by this VM's own items are still its slots:
-        the next chunk is claimed before the last one has drained.
+        A model stays usable while this VM's own items take all its slots, so
+        that the next chunk is claimed before the last one has drained.
         """
         models = {
             model
@@ -47,10 +48,10 @@
         for model in models:
             if self._router.batch_slots(model) > 0:
                 self.note(model)
-        since_s = self._clock.monotonic_s() - _USABLE_S
+        since_s = self._clock.monotonic_s() - _USABLE_FOR_S
         with self._lock:
             return tuple(
                 model
                 for model in sorted(models)
-                if self._usable_s.get(model, since_s) > since_s
+                if self._last_usable_s.get(model, since_s) > since_s
             )
--- a/tests/daemon/test_crashnotices.py
+++ b/tests/daemon/test_crashnotices.py
@@ -1,4 +1,4 @@
-"""Notices of crashed upstreams between VMs."""
+"""Tests of the crash notices between VMs."""
 
 import threading
 import time
@@ -16,14 +16,14 @@
 
 
 class _Peers:
-    """Takes a while to bring a message to a VM."""
+    """Records the VMs that it delivers messages to, after a delay."""
 
     def __init__(self) -> None:
-        self.told: set[str] = set()
+        self.notified: set[str] = set()
 
     def call(self, vm: str, message: Any, timeout_s: float) -> Any:
         time.sleep(min(_SLOW_S, timeout_s))
-        self.told.add(vm)
+        self.notified.add(vm)
         return result.Ok(quarantine.CrashNotice(()))
 
 
@@ -45,7 +45,10 @@
 def test_a_crash_is_known_elsewhere_before_its_caller_is_answered(
     domain: str,
 ) -> None:
-    """The caller sends the request again at once, by way of another VM."""
+    """Guards against a caller that retries at once through another VM.
+
+    If that VM has not received the crash notice yet, it runs the request.
+    """
     peers: Any = _Peers()
     rows = (
         records.Vm("vm1", "north", "entry", "h:1"),
@@ -59,4 +62,4 @@
         threading.Lock(),
     )
     notices.crashed("fingerprint")
-    assert peers.told == {"vm2"}
+    assert peers.notified == {"vm2"}
--- a/tests/daemon/test_quarantine.py
+++ b/tests/daemon/test_quarantine.py
@@ -1,30 +1,31 @@
-"""Tests of the count of crashes by request."""
+"""Tests of crash counts by request."""
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeald import quarantine
 
 
 def test_a_notice_that_comes_twice_counts_once() -> None:
-    # An innocent request ran once on an engine that crashed and is refused
-    # for good: its one crash came by way of two VMs and counted twice.
-    known = quarantine.Quarantine(clock_lib.FakeClock())
+    # Guards against the refusal of a request that saw only one crash: its
+    # notice arrived through two VMs and was counted twice.
+    crashes = quarantine.Quarantine(clock_lib.FakeClock())
     crash = quarantine.Crash("f", "crash-1")
-    assert [known.add(crash), known.add(crash)] == [True, False]
-    assert (known.is_suspect("f"), known.is_refused("f")) == (True, False)
-    for number in range(2, quarantine.CRASHES_ALLOWED + 1):
-        assert known.add(quarantine.Crash("f", f"crash-{number}"))
-    assert known.is_refused("f")
+    assert [crashes.add(crash), crashes.add(crash)] == [True, False]
+    assert (crashes.is_suspect("f"), crashes.is_refused("f")) == (True, False)
+    for number in range(2, quarantine.CRASHES_TO_REFUSE + 1):
+        assert crashes.add(quarantine.Crash("f", f"crash-{number}"))
+    assert crashes.is_refused("f")
 
 
 def test_a_crash_is_forgotten_by_its_own_age() -> None:
-    # A request stays refused although its engine was mended long ago: VMs
-    # tell each other of a crash again and again, each time as if it were new.
+    # Guards against a request that stays refused long after its engine was
+    # repaired: VMs send each other the same crash repeatedly, and it must not
+    # count as new each time.
     clock = clock_lib.FakeClock()
-    known = quarantine.Quarantine(clock)
-    known.add(quarantine.Crash("f", "crash-1", quarantine.KEEP_S - 1))
-    assert known.crashes()[0].age_s == quarantine.KEEP_S - 1
+    crashes = quarantine.Quarantine(clock)
+    crashes.add(quarantine.Crash("f", "crash-1", quarantine.RETENTION_S - 1))
+    assert crashes.crashes()[0].age_s == quarantine.RETENTION_S - 1
     clock.sleep_s(2.0)
-    (told,) = known.crashes()
-    assert not quarantine.Quarantine(clock).add(told)
-    known.add(quarantine.Crash("other", "crash-2"))
-    assert not known.is_suspect("f")
+    (reported,) = crashes.crashes()
+    assert not quarantine.Quarantine(clock).add(reported)
+    crashes.add(quarantine.Crash("other", "crash-2"))
+    assert not crashes.is_suspect("f")
--- a/tests/support/routes.py
+++ b/tests/support/routes.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for tests, whose answers are set path by path."""
+"""A small HTTP server for tests with configured answers by path."""
 
 from collections.abc import Iterator
 import contextlib
@@ -9,7 +9,7 @@
 
 
 class Seen(NamedTuple):
-    """One request as it arrived."""
+    """A request that the server received."""
 
     method: str
     path: str
@@ -19,7 +19,12 @@
 
 
 class Routes:
-    """Answers each path as told and keeps what it was asked."""
+    """Answers each path as configured and records the requests.
+
+    Attributes:
+        seen: The requests, in order of arrival.
+        address: The server's address as `HOST:PORT`.
+    """
 
     def __init__(self) -> None:
         self.seen: list[Seen] = []
@@ -27,7 +32,11 @@
         self._answers: dict[tuple[str, str], list[httpd.Response]] = {}
 
     def add(self, method: str, path: str, status: int, value: Any) -> None:
-        """Adds the next answer of a path; the last one stays."""
+        """Adds an answer to a path.
+
+        Answers are given in the order added; the last one is repeated. Bytes
+        are sent as they are, other values as JSON.
+        """
         body = value if isinstance(value, bytes) else json.dumps(value).encode()
         self._answers.setdefault((method, path), []).append(
             httpd.Response(
@@ -40,7 +49,7 @@
         )
 
     def serve(self, request: httpd.Request) -> httpd.Response:
-        """Is the handler of the server."""
+        """Handles a request to the server."""
         body = b"".join(httpd.read_chunks(request.body))
         self.seen.append(
             Seen(
@@ -59,7 +68,7 @@
 
 @contextlib.contextmanager
 def serving() -> Iterator[Routes]:
-    """Runs the server on a free port for the time of a test."""
+    """Runs the server on a free port."""
     routes = Routes()
     server = httpd.Server("127.0.0.1:0", routes.serve, threads=4)
     server.start()
