--- a/packages/daemon/bulrushdeald/choice.py
+++ b/packages/daemon/bulrushdeald/choice.py
@@ -1,4 +1,4 @@
-"""Policies that choose an upstream among those with room."""
+"""Policies that choose one of the upstreams with room for a request."""
 
 import random
 from typing import NamedTuple, Protocol
@@ -6,17 +6,17 @@
 from bulrushdeal import records
 from bulrushdeald import rendezvous
 
-# A batch stream slows online ones while it lasts but yields when asked, so
-# it counts for less than an online stream.
+# A batch stream counts for less than an online stream: it slows online
+# streams while it runs, but it yields on request.
 BATCH_WEIGHT = 0.25
-# An upstream that has the prompt's prefix cached may be this much fuller
-# than the average before another is taken.
+# The upstream preferred for a prompt prefix is used while its load is at most
+# the mean load times this factor plus this slack.
 AFFINITY_LOAD_FACTOR = 1.25
 AFFINITY_LOAD_SLACK = 0.1
 
 
 class Candidate(NamedTuple):
-    """An upstream with room, and how full it is believed to be."""
+    """An upstream with room and its estimated number of requests."""
 
     upstream: records.Upstream
     online: int
@@ -24,38 +24,41 @@
 
     @property
     def load(self) -> float:
-        """The expected wait, relative to its size."""
+        """The weighted number of running requests per slot."""
         return (self.online + BATCH_WEIGHT * self.batch) / self.upstream.slots
 
 
 class Policy(Protocol):
-    """Chooses one of at least one candidate."""
+    """Chooses one upstream from a non-empty list of candidates."""
 
     def choose(
         self, candidates: list[Candidate], prompt_prefix: bytes
     ) -> Candidate:
-        """Returns the candidate that the request goes to."""
+        """Returns the candidate to send the request to."""
 
 
 class RandomPolicy:
-    """Any candidate; the baseline that the others are measured against."""
+    """Chooses any candidate; the baseline for the other policies."""
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
 
     def choose(
         self, candidates: list[Candidate], prompt_prefix: bytes
     ) -> Candidate:
         """See `Policy`."""
         del prompt_prefix
-        return self._source.choice(candidates)
+        return self._rng.choice(candidates)
 
 
 class LeastLoadPolicy:
-    """The better of two random candidates, so that VMs do not herd."""
+    """Chooses the less loaded of two random candidates.
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    The random pair keeps VMs from all choosing the same upstream at once.
+    """
+
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
 
     def choose(
         self, candidates: list[Candidate], prompt_prefix: bytes
@@ -64,15 +67,19 @@
         del prompt_prefix
         if len(candidates) == 1:
             return candidates[0]
-        pair = self._source.sample(candidates, 2)
+        pair = self._rng.sample(candidates, 2)
         return min(pair, key=lambda candidate: candidate.load)
 
 
 class AffinityPolicy:
-    """The upstream that has seen the prefix, unless it is too full."""
+    """Sends a prompt prefix to the same upstream unless it is overloaded.
+
+    Rendezvous hashing maps the prefix to the upstream that is likely to have
+    it cached.
+    """
 
-    def __init__(self, source: random.Random) -> None:
-        self._fallback = LeastLoadPolicy(source)
+    def __init__(self, rng: random.Random) -> None:
+        self._fallback = LeastLoadPolicy(rng)
 
     def choose(
         self, candidates: list[Candidate], prompt_prefix: bytes
@@ -90,10 +97,10 @@
         return self._fallback.choose(candidates, b"")
 
 
-def policy(name: str, source: random.Random) -> Policy:
-    """Returns the policy that a setting names."""
+def make_policy(name: str, rng: random.Random) -> Policy:
+    """Returns the policy with the name that is given in a setting."""
     if name == "random":
-        return RandomPolicy(source)
+        return RandomPolicy(rng)
     if name == "least_load":
-        return LeastLoadPolicy(source)
-    return AffinityPolicy(source)
+        return LeastLoadPolicy(rng)
+    return AffinityPolicy(rng)
--- a/packages/daemon/bulrushdeald/loadpoll.py
+++ b/packages/daemon/bulrushdeald/loadpoll.py
@@ -1,11 +1,11 @@
-"""Asks the engines that this VM owns how busy they are.
-
-The failure: VMs that cannot reach this one go on sending online requests to
-an upstream it owns, and it would fill the same slots with batch items. It
-shows as more requests running, by the engine's own report, than all VMs
-known here have there. Reports lag, so they are compared with the most that
-was known over a window longer than the lag: what merely ended or began
-meanwhile is never taken for a stranger's.
+"""Polls the load of the engines that this VM owns.
+
+VMs that cannot reach this VM go on sending online requests to an upstream
+that it owns. Without the polls, this VM would fill the same slots with batch
+items. Such external requests show as an engine that reports more requests
+than the VMs known here run on it. An engine's report lags, so it is compared
+with the greatest known count over a window longer than the lag: requests that
+ended or started in the meantime are never counted as external.
 """
 
 import collections
@@ -19,88 +19,97 @@
 from bulrushdeald import topology as topology_lib
 
 POLL_S = 1.0
-# Longer than an engine's report may lag.
+# Longer than the lag of an engine's report.
 WINDOW_S = 5.0
 _TIMEOUT_S = 1.0
 _OK = 200
 _MAX_BYTES = 65536
 
 
-class Known(NamedTuple):
-    """How many requests were known to run at a moment."""
+class KnownCount(NamedTuple):
+    """A count of requests known to run on an upstream.
+
+    Attributes:
+        at_s: When the count was taken, in seconds on the monotonic clock.
+        running: The number of requests.
+    """
 
     at_s: float
     running: int
 
 
-class Window:
-    """The most that was known to run on each upstream lately."""
+class RecentMaximum:
+    """The greatest known count on each upstream over the last seconds.
+
+    The window is `WINDOW_S` long.
+    """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
-        self._known: dict[str, collections.deque[Known]] = {}
+        self._counts: dict[str, collections.deque[KnownCount]] = {}
 
-    def note(self, upstream: str, count: int) -> None:
-        """Keeps a count, and of the older ones those that are greater."""
+    def record(self, upstream: str, count: int) -> None:
+        """Adds a count and drops older counts that are not greater."""
         now_s = self._clock.monotonic_s()
-        known = self._known.setdefault(upstream, collections.deque())
-        while known and known[-1].running <= count:
-            known.pop()
-        known.append(Known(now_s, count))
-        while known[0].at_s < now_s - WINDOW_S:
-            known.popleft()
+        counts = self._counts.setdefault(upstream, collections.deque())
+        while counts and counts[-1].running <= count:
+            counts.pop()
+        counts.append(KnownCount(now_s, count))
+        while counts[0].at_s < now_s - WINDOW_S:
+            counts.popleft()
 
-    def most(self, upstream: str) -> int:
-        """Returns the greatest count of the window."""
-        known = self._known.get(upstream)
-        return known[0].running if known else 0
+    def maximum(self, upstream: str) -> int:
+        """Returns the greatest count in the window, or 0 if there is none."""
+        counts = self._counts.get(upstream)
+        return counts[0].running if counts else 0
 
 
-class Owner(Protocol):
-    """What the polls need of the router."""
+class Router(Protocol):
+    """The part of the router that the polls use."""
 
     def topology(self) -> topology_lib.Topology:
-        """Returns who owns which upstream now."""
+        """Returns the current topology, with the owned upstreams."""
 
-    def took_load(self, upstream: str, running: int) -> None:
-        """Takes an engine's own count of what it runs and queues."""
+    def update_engine_load(self, upstream: str, running: int) -> None:
+        """Applies an engine's own count of running and queued requests."""
 
 
 class LoadPolls:
-    """Polls the engines owned here, one after the other.
+    """Polls the engines that this VM owns, one after the other.
 
-    One kept connection each, by the standard library: through `urllib3` a
-    poll took 1.7 times the processor time, and there are 5 a second.
+    It keeps one connection to each engine, from the standard library: with
+    `urllib3` a poll took 1.7 times the processor time, and there are 5 polls
+    a second.
     """
 
-    def __init__(self, router: Owner) -> None:
+    def __init__(self, router: Router) -> None:
         self._router = router
         self._stopping = threading.Event()
         self._connections: dict[str, client.HTTPConnection] = {}
 
     def start(self) -> None:
-        """Begins to poll."""
+        """Starts the polling thread."""
         threading.Thread(
-            target=self._poll, name="load-polls", daemon=True
+            target=self._run, name="load-polls", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Ends the thread soon."""
+        """Asks the polling thread to end; does not wait for it."""
         self._stopping.set()
 
-    def _poll(self) -> None:
+    def _run(self) -> None:
         while not self._stopping.wait(POLL_S):
             self.poll()
         self.close()
 
     def close(self) -> None:
-        """Closes what is kept; only the thread that polls may do so."""
+        """Closes the kept connections; only the polling thread may call it."""
         for connection in self._connections.values():
             connection.close()
         self._connections.clear()
 
     def poll(self) -> None:
-        """Asks each engine once."""
+        """Polls each engine that this VM owns once."""
         topology = self._router.topology()
         engines = [
             topology.upstreams[name]
@@ -111,32 +120,36 @@
         for address in self._connections.keys() - addresses:
             self._connections.pop(address).close()
         for upstream in engines:
-            self._ask(upstream)
+            self._poll_engine(upstream)
 
-    def _ask(self, upstream: records.Upstream) -> None:
-        kept = self._connections.pop(upstream.address, None)
-        running = None if kept is None else _running(kept)
+    def _poll_engine(self, upstream: records.Upstream) -> None:
+        connection = self._connections.pop(upstream.address, None)
+        running = None if connection is None else _fetch_load(connection)
         if running is None:
-            # The engine may have ended the one that was kept.
-            kept = _connect(upstream.address)
-            running = None if kept is None else _running(kept)
-        if kept is None or running is None:
-            # An engine without a report is known by the VMs' counts alone.
+            # The engine may have closed the kept connection.
+            connection = _connect(upstream.address)
+            running = None if connection is None else _fetch_load(connection)
+        if connection is None or running is None:
+            # Without a report, only the VMs' counts apply to this engine.
             return
-        self._connections[upstream.address] = kept
-        self._router.took_load(upstream.upstream, running)
+        self._connections[upstream.address] = connection
+        self._router.update_engine_load(upstream.upstream, running)
 
 
 def _connect(address: str) -> client.HTTPConnection | None:
     try:
         return client.HTTPConnection(address, timeout=_TIMEOUT_S)
     except client.HTTPException:
-        # Not `HOST:PORT`; the thread has to live on for the others.
+        # The address is not `HOST:PORT`. The polling thread must go on with
+        # the other engines.
         return None
 
 
-def _running(connection: client.HTTPConnection) -> int | None:
-    """Returns what an engine runs and queues, `None` if it does not tell."""
+def _fetch_load(connection: client.HTTPConnection) -> int | None:
+    """Returns an engine's running and queued requests.
+
+    Returns `None` and closes the connection if there is no valid report.
+    """
     try:
         connection.request("GET", "/load")
         answer = connection.getresponse()
--- a/packages/daemon/bulrushdeald/placement.py
+++ b/packages/daemon/bulrushdeald/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream a request goes to, by what is believed to run where."""
+"""Chooses the upstream of a request from estimated running counts."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -15,8 +15,8 @@
 from bulrushdeald import waits as waits_lib
 
 
-class _Sources(NamedTuple):
-    """What a topology was built from."""
+class _TopologyInput(NamedTuple):
+    """The input that a topology was built from."""
 
     upstreams: tuple[records.Upstream, ...]
     vms: tuple[records.Vm, ...]
@@ -26,9 +26,9 @@
     """Places requests; not thread-safe by itself.
 
     Attributes:
-        health: Which upstreams answer.
-        inflight: The counts of what runs where.
-        batch: The batch items that run here.
+        health: Which upstreams are available.
+        inflight: Counts of running requests by upstream.
+        batch: Batch items that this VM runs.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
         clock: clock_lib.Clock,
     ) -> None:
         self._policy = policy
-        self._window = loadpoll.Window(clock)
+        self._recent_max = loadpoll.RecentMaximum(clock)
         self._suspects: dict[str, int] = {}
-        self._entry_vms: tuple[records.Vm, ...] = ()
+        self._known_entry_vms: tuple[records.Vm, ...] = ()
         self._silent: frozenset[str] = frozenset()
         self._topology = topology_lib.build((), (), records.Vm("", "", "entry"))
-        self._sources = _Sources((), ())
+        self._topology_input = _TopologyInput((), ())
         self._is_stale = True
         self.health = health_lib.Health(clock)
         self.inflight = inflight_lib.Inflight(clock)
@@ -53,26 +53,31 @@
     def connect(
         self, config: services.Config, membership: services.Membership
     ) -> None:
-        """Goes by this configuration and list of VMs."""
+        """Sets the source of the upstreams and of the VM list."""
         self._config = config
         self._membership = membership
-        self._own = membership.own()
+        self._own_vm = membership.own()
         config.on_change(self._note_change)
 
-    def heed(self, waits: waits_lib.Waits) -> None:
-        """Leaves slots to what waits elsewhere from now on."""
+    def set_waits(self, waits: waits_lib.Waits) -> None:
+        """Sets the record of the requests that wait on other VMs.
+
+        From then on, this VM may leave free slots to those requests.
+        """
         self._waits = waits
 
     def _note_change(self) -> None:
         self._is_stale = True
 
     def set_silent(self, vm: str, is_silent: bool) -> None:
-        """Notes whether an owner answers this VM.
-
-        The failure: a frozen VM stays on the platform's list, and no batch
-        item runs on the upstreams that it owns. It shows as reports without
-        an answer. Its upstreams go to the next VM in order; if that is a
-        mistake two VMs place batch items there, which yield all the same.
+        """Records whether an owner responds to this VM.
+
+        A frozen VM stays on the platform's list, and no batch item would run
+        on the upstreams that it owns. This VM detects it by reports that get
+        no response. The frozen VM's upstreams then pass to the next VM in
+        rendezvous order. If the VM was not frozen after all, two VMs place
+        batch items on the same upstreams, and these items still yield to
+        online requests.
         """
         if (vm in self._silent) == is_silent:
             return
@@ -80,41 +85,43 @@
         self._is_stale = True
 
     def is_silent(self, vm: str) -> bool:
-        """Tells whether an owner has not answered this VM for a while."""
+        """Returns whether an owner has stopped responding to this VM."""
         return vm in self._silent
 
     def topology(self) -> topology_lib.Topology:
-        """Returns who serves what and who owns which upstream.
+        """Returns which upstreams serve which model, and their owners.
 
-        It is built anew only after a change: at 6,400 upstreams that takes
-        too long to be done for each request. Two threads may both build it,
-        which gives the same.
+        The topology is rebuilt only after a change: with 6,400 upstreams a
+        rebuild takes too long to be done for each request. Two threads may
+        rebuild it at the same time; both get the same result.
         """
         entry_vms = self._membership.entry_vms()
-        if not self._is_stale and entry_vms is self._entry_vms:
+        if not self._is_stale and entry_vms is self._known_entry_vms:
             return self._topology
-        # Cleared first: a change that comes meanwhile sets it again.
+        # Cleared before the rebuild, so that a change during it sets it again.
         self._is_stale = False
         upstreams = self._config.upstreams()
-        # A VM that is gone is not silent any more; names are never used again.
+        # Drops VMs that have left the list; VM names are never reused.
         self._silent &= frozenset(vm.vm for vm in entry_vms)
-        answering = tuple(vm for vm in entry_vms if vm.vm not in self._silent)
-        # Most changes are to customers and leave the upstreams as they are.
-        sources = _Sources(upstreams, answering)
-        if sources != self._sources:
-            self._topology = topology_lib.build(upstreams, answering, self._own)
-            self._sources = sources
-        self._entry_vms = entry_vms
+        responsive = tuple(vm for vm in entry_vms if vm.vm not in self._silent)
+        # Most changes concern customers only and need no rebuild.
+        topology_input = _TopologyInput(upstreams, responsive)
+        if topology_input != self._topology_input:
+            self._topology = topology_lib.build(
+                upstreams, responsive, self._own_vm
+            )
+            self._topology_input = topology_input
+        self._known_entry_vms = entry_vms
         return self._topology
 
     def serving(self, work: services.Work) -> topology_lib.Serving:
-        """Returns all upstreams that serve what a request asks for."""
+        """Returns all upstreams that serve a request's model or service."""
         return self.topology().serving(work.model, work.service)
 
     def usable(
         self, upstreams: tuple[records.Upstream, ...]
     ) -> Iterator[records.Upstream]:
-        """Yields those that answer and are not leaving."""
+        """Yields the upstreams that are available and not leaving."""
         for upstream in upstreams:
             if not self.health.is_up(upstream.upstream):
                 continue
@@ -122,51 +129,55 @@
                 yield upstream
 
     def estimate(self, upstream: records.Upstream) -> inflight_lib.Count:
-        """Returns what is believed to run on an upstream."""
+        """Returns the estimated number of requests on an upstream."""
         name = upstream.upstream
         owner = self.topology().owners.of(name)
-        return self.inflight.estimate(name, owner, self._own.vm)
+        return self.inflight.estimate(name, owner, self._own_vm.vm)
 
-    def online(
+    def choose_for_online(
         self, work: services.Work, is_suspect: bool, weight: float = 1.0
     ) -> records.Upstream | None:
-        """Returns where an online request goes now, if there is room.
+        """Returns an upstream with room for an online request, or `None`.
 
-        The own failure domain comes first; others take what it cannot.
+        Upstreams of other failure domains are used only if there is no room
+        in the VM's own failure domain.
 
         Args:
             work: The request.
-            is_suspect: Whether it ran when an upstream crashed before.
-            weight: Of the customers who wait for the same here.
+            is_suspect: Whether the request was running when an upstream
+                crashed.
+            weight: Weight of the customers that wait on this VM for the same
+                model or service.
         """
         serving = self.serving(work)
         pool = work.model or work.service
         candidates = [
             candidate
             for candidate in self._with_room(serving.near, is_suspect)
-            if not self._is_left(candidate, pool, weight)
+            if not self._is_left_to_others(candidate, pool, weight)
         ]
         if not candidates:
-            known = filter(self._is_known, serving.far)
-            candidates = self._with_room(tuple(known), is_suspect)
+            far = filter(self._may_send_far, serving.far)
+            candidates = self._with_room(tuple(far), is_suspect)
         if not candidates:
             return None
         return self._policy.choose(candidates, work.prompt_prefix).upstream
 
-    def _is_known(self, upstream: records.Upstream) -> bool:
-        """Tells whether this VM may send more to another domain's upstream.
+    def _may_send_far(self, upstream: records.Upstream) -> bool:
+        """Returns whether to send more to an upstream of another domain.
 
-        The failure: a burst fills a failure domain, and each VM there sends
-        its whole backlog to the same upstream elsewhere, which it believes
-        to be idle since it has not heard from its owner. It shows as an
-        engine that runs three times its slots. One request goes; the report
-        of it brings the owner's sum, and the others follow by that.
+        Without this check, after a burst fills a failure domain, each VM
+        there sends its whole backlog to the same upstream elsewhere, which
+        looks idle because its owner's totals have not arrived. The symptom
+        is an engine that runs three times its slots. So a VM first sends one
+        request; the owner answers the report of it with the totals, by which
+        the VM places the other requests.
         """
         name = upstream.upstream
         if not self.inflight.own_online(name):
             return True
         owner = self.topology().owners.of(name)
-        return owner == self._own.vm or self.inflight.is_known(owner)
+        return owner == self._own_vm.vm or self.inflight.is_known(owner)
 
     def _with_room(
         self, upstreams: tuple[records.Upstream, ...], is_suspect: bool
@@ -182,15 +193,15 @@
                 )
         return found
 
-    def _others(
+    def _waiting_elsewhere(
         self, upstream: records.Upstream, pool: str
     ) -> waits_lib.Waiting:
         if self._waits is None:
             return waits_lib.Waiting(pool, 0, 0.0)
         owner = self.topology().owners.of(upstream.upstream)
-        return self._waits.others(owner, self._own.vm, pool)
+        return self._waits.others(owner, self._own_vm.vm, pool)
 
-    def _is_left(
+    def _is_left_to_others(
         self, candidate: choice.Candidate, pool: str, weight: float
     ) -> bool:
         upstream = candidate.upstream
@@ -199,26 +210,33 @@
             self.inflight.own_online(upstream.upstream),
             upstream.slots - candidate.online,
             weight,
-            self._others(upstream, pool),
+            self._waiting_elsewhere(upstream, pool),
         )
 
     def free_batch_slots(self, upstream: records.Upstream) -> int:
-        """Returns how many more batch items may run on an upstream."""
+        """Returns how many more batch items may run on an upstream.
+
+        It is 0 for an upstream that this VM does not own.
+        """
         if upstream.upstream not in self.topology().owned:
             return 0
         online = self.inflight.total_online(upstream.upstream)
         allowed = self.batch.allowed(upstream, online)
-        # A slot that another VM's online request waits for is not idle.
+        # Slots are kept free for online requests that wait on other VMs.
         allowed -= max(
-            self._others(upstream, pool).requests
+            self._waiting_elsewhere(upstream, pool).requests
             for pool in (*upstream.models, upstream.service)
         )
         return max(0, allowed - self.batch.running(upstream.upstream))
 
-    def batch_item(
+    def choose_for_batch(
         self, work: services.Work, is_suspect: bool
     ) -> records.Upstream | None:
-        """Returns where a batch item goes now, if there is a free slot."""
+        """Returns an upstream with a free batch slot, or `None`.
+
+        The upstream where the item yielded comes first, then the one with the
+        most free slots.
+        """
         best: records.Upstream | None = None
         most = 0
         for upstream in self.usable(self.serving(work).all):
@@ -231,46 +249,50 @@
                 best, most = upstream, free
         return best
 
-    def take(
+    def count_start(
         self, work: services.Work, upstream: records.Upstream, is_suspect: bool
-    ) -> batchslots.Running | None:
-        """Counts a request as running there."""
+    ) -> batchslots.RunningItem | None:
+        """Counts a request as running on an upstream.
+
+        Returns:
+            The running item for batch work, otherwise `None`.
+        """
         name = upstream.upstream
         if self.health.is_trial(name):
             self.health.begin_trial(name)
         if is_suspect:
             self._suspects[name] = self._suspects.get(name, 0) + 1
-        running = None
+        batch_item = None
         if work.work_class == "batch":
-            running = self.batch.add(name)
+            batch_item = self.batch.add(name)
             self.inflight.add_batch(name, 1)
         else:
             self.inflight.add_online(name, 1)
-        self.note_known(name)
-        return running
+        self.record_known_count(name)
+        return batch_item
 
-    def give_back(
+    def count_end(
         self,
         upstream: str,
-        running: batchslots.Running | None,
+        batch_item: batchslots.RunningItem | None,
         is_suspect: bool,
     ) -> None:
-        """Counts a request as ended."""
+        """Counts a request on an upstream as ended."""
         if is_suspect:
             self._suspects[upstream] -= 1
-        if running is None:
+        if batch_item is None:
             self.inflight.add_online(upstream, -1)
             return
-        self.batch.remove(upstream, running)
+        self.batch.remove(upstream, batch_item)
         self.inflight.add_batch(upstream, -1)
 
-    def note_known(self, upstream: str) -> None:
-        """Remembers how many requests are known to run now."""
+    def record_known_count(self, upstream: str) -> None:
+        """Records how many requests are known to run on an upstream now."""
         known = self.inflight.known_online(upstream)
         known += self.inflight.own_batch(upstream)
-        self._window.note(upstream, known)
+        self._recent_max.record(upstream, known)
 
-    def take_load(self, upstream: str, running: int) -> None:
-        """Takes an engine's own count; see `loadpoll`."""
-        strangers = max(0, running - self._window.most(upstream))
-        self.inflight.set_external(upstream, strangers)
+    def update_external_count(self, upstream: str, running: int) -> None:
+        """Counts requests that only the engine reports; see `loadpoll`."""
+        external = max(0, running - self._recent_max.maximum(upstream))
+        self.inflight.set_external(upstream, external)
--- a/packages/daemon/bulrushdeald/queues.py
+++ b/packages/daemon/bulrushdeald/queues.py
@@ -1,4 +1,4 @@
-"""The order in which waiting requests get their turn."""
+"""Queue disciplines for waiting requests."""
 
 import collections
 from collections.abc import Callable
@@ -11,32 +11,35 @@
 
 
 class Queue(Protocol[T]):
-    """Holds waiting items of several customers; not thread-safe by itself."""
+    """Holds waiting items of several customers; not thread-safe."""
 
     def __len__(self) -> int:
         """Returns the number of waiting items."""
 
     def turns(self, customer: str, weight: float) -> float:
-        """Returns how many items leave until a customer's next one has."""
+        """Returns how many items leave, up to a new one of a customer.
+
+        The number is an estimate and counts the new item itself.
+        """
 
     def weight(self) -> float:
-        """Returns the weight of the customers who wait, together."""
+        """Returns the total weight of the customers with waiting items."""
 
     def push(self, customer: str, weight: float, cost: float, item: T) -> int:
-        """Adds an item and returns the ticket to remove it by."""
+        """Adds an item and returns a ticket that identifies it."""
 
     def peek(self) -> T | None:
-        """Returns the item whose turn it is, `None` if nothing waits."""
+        """Returns the next item, or `None` if the queue is empty."""
 
     def pop(self) -> T | None:
-        """Takes out the item whose turn it is, `None` if nothing waits."""
+        """Removes and returns the next item, `None` if the queue is empty."""
 
     def remove(self, customer: str, ticket: int) -> None:
-        """Takes out an item that still waits."""
+        """Removes an item that is still waiting, by its ticket."""
 
 
 class FifoQueue(Generic[T]):
-    """One queue for all customers; the baseline for the fair one."""
+    """Serves items in order of arrival; the baseline for fair queueing."""
 
     def __init__(self) -> None:
         self._tickets = itertools.count()
@@ -52,7 +55,7 @@
         return len(self._items) + 1.0
 
     def weight(self) -> float:
-        """See `Queue`; here each request counts as much as any other."""
+        """See `Queue`; each waiting item has weight 1 here."""
         return float(len(self._items))
 
     def push(self, customer: str, weight: float, cost: float, item: T) -> int:
@@ -78,8 +81,8 @@
         del self._items[ticket]
 
 
-def maker(name: str) -> Callable[[], Queue[T]]:
-    """Returns what makes the queues that a setting names."""
+def queue_factory(name: str) -> Callable[[], Queue[T]]:
+    """Returns the constructor of the queue discipline of that name."""
     if name == "fifo":
         return FifoQueue
     return fairqueue.FairQueue
--- a/packages/daemon/bulrushdeald/router.py
+++ b/packages/daemon/bulrushdeald/router.py
@@ -1,10 +1,11 @@
-"""Chooses an upstream for each request and keeps online ahead of batch.
-
-Engines admit requests as they arrive and know no priorities, so work is held
-back here. Online work goes to an upstream with room at once, or waits in a
-fair queue between customers; what cannot be served before its deadline is
-refused at once with the time to come back. Batch work waits in a queue of
-its own for slots of the upstreams that this VM owns.
+"""Chooses an upstream for each request and puts online before batch work.
+
+Engines admit requests in order of arrival and have no priorities, so the
+router queues requests itself. An online request goes straight to an upstream
+with a free slot or waits in a queue that is fair between customers. If it
+cannot be served before its deadline, the router refuses it immediately and
+says when to retry. Batch work waits in separate queues for slots on the
+upstreams that this VM owns.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,17 +34,17 @@
 from bulrushdeald import waitreports
 from bulrushdeald import waits as waits_lib
 
-# How long an online request waits for a slot at most; a longer wait is worse
-# for its caller than being told at once when to come back.
-LONGEST_WAIT_S = 5.0
-_SHORTEST_RETRY_S = 0.1
+# The longest time that an online request waits for a slot. An immediate
+# refusal with a retry time serves the caller better than a longer wait.
+MAX_ONLINE_WAIT_S = 5.0
+_MIN_RETRY_AFTER_S = 0.1
 
 
 class UpstreamRouter:
-    """The service `router`; see `services.Router`.
+    """Implements the service `router`; see `services.Router`.
 
-    One lock guards all its state. It is held for computations only, never
-    while anything outside is waited for.
+    One lock guards all state. It is held for computation only, never during
+    a blocking call.
     """
 
     def __init__(
@@ -57,53 +58,55 @@
         self._lock = threading.Lock()
         self._pools: dict[str, slots.Pool] = {}
         self._make_queue: Callable[[], queues.Queue[slots.Waiter]] = (
-            queues.maker(settings.queue_discipline)
+            queues.queue_factory(settings.queue_discipline)
         )
         self._quarantine = quarantine.Quarantine(self._clock)
         self._placement = placement.Placement(
-            choice.policy(settings.upstream_policy, random.Random(settings.vm)),
+            choice.make_policy(
+                settings.upstream_policy, random.Random(settings.vm)
+            ),
             batchslots.BatchSlots(
                 settings.batch_reserve_fraction, settings.batch_yields == "yes"
             ),
             self._clock,
         )
-        self._waits = waits_lib.Waits(self._clock, self._waiting)
-        self._polls = loadpoll.LoadPolls(self)
+        self._waits = waits_lib.Waits(self._clock, self._online_waiting)
+        self._load_polls = loadpoll.LoadPolls(self)
         self._counters: dict[str, int] = {}
 
     def start(self) -> None:
-        """Finds the other services and begins to report counts."""
+        """Looks up the other services and starts the reporting threads."""
         find = self._kernel.find
         self._config = find(services.CONFIG, services.Config)
         membership = find(services.MEMBERSHIP, services.Membership)
         peers = find(services.PEERS, services.Peers)
         self._placement.connect(self._config, membership)
-        self._placement.heed(self._waits)
+        self._placement.set_waits(self._waits)
         self._wait_reports = waitreports.WaitReports(
             peers, self._waits, self._lock, self
         )
-        self._notices = crashnotices.CrashNotices(
+        self._crash_notices = crashnotices.CrashNotices(
             peers, membership, self._quarantine, self._lock
         )
-        self._reports = inflightreports.Reports(
+        self._inflight_reports = inflightreports.Reports(
             peers, self._placement.inflight, self._lock, self, self._clock
         )
-        self._notices.start()
-        self._reports.start()
+        self._crash_notices.start()
+        self._inflight_reports.start()
         self._wait_reports.start()
-        self._polls.start()
+        self._load_polls.start()
         self._config.on_change(self.wake)
 
     def stop(self, grace_s: float) -> None:
-        """Ends the reports; slots in use stay valid."""
+        """Stops the reporting threads; slots in use stay valid."""
         del grace_s
-        self._polls.stop()
+        self._load_polls.stop()
         self._wait_reports.stop()
-        self._reports.stop()
-        self._notices.stop()
+        self._inflight_reports.stop()
+        self._crash_notices.stop()
 
     def dump(self) -> dict[str, Any]:
-        """Returns queues, counts, failures and crashes."""
+        """Returns queue lengths, counts, failed upstreams and crashes."""
         with self._lock:
             topology = self.topology()
             return {
@@ -127,22 +130,22 @@
             }
 
     def send_reports(self) -> None:
-        """Tells each other owner what runs here, now and not soon."""
+        """Sends this VM's reports to the other near owners immediately."""
         for owner in self.topology().near_owners:
             self.send_report_to(owner)
 
     def send_report_to(self, owner: str) -> None:
-        """Tells one owner what waits and what runs here."""
+        """Sends one owner the requests that wait and that run here."""
         self._wait_reports.send(owner)
-        self._reports.send(owner)
+        self._inflight_reports.send(owner)
 
     def ask_counts(self, owner: str) -> None:
-        """Has an owner asked for its counts soon."""
+        """Schedules an early request for an owner's counts."""
         with self._lock:
-            self._reports.changed(owner, is_urgent=True)
+            self._inflight_reports.changed(owner, is_urgent=True)
 
-    def _waiting(self) -> tuple[waits_lib.Waiting, ...]:
-        """Returns what online requests wait for; called with the lock."""
+    def _online_waiting(self) -> tuple[waits_lib.Waiting, ...]:
+        """Returns the waiting online requests; the caller holds the lock."""
         return tuple(
             waits_lib.Waiting(name, len(pool.online), pool.online.weight())
             for name, pool in self._pools.items()
@@ -150,15 +153,15 @@
         )
 
     def topology(self) -> topology_lib.Topology:
-        """Returns who serves what and who owns which upstream."""
+        """Returns which upstreams serve which model, and their owners."""
         return self._placement.topology()
 
     def set_silent(self, vm: str, is_silent: bool) -> None:
-        """Notes whether an owner answers; called with the lock."""
+        """Records whether an owner responds; the caller holds the lock."""
         self._placement.set_silent(vm, is_silent)
 
     def is_silent(self, vm: str) -> bool:
-        """Tells whether an owner is noted as silent."""
+        """Returns whether an owner is recorded as not responding."""
         return self._placement.is_silent(vm)
 
     def batch_slots(self, model: str) -> int:
@@ -176,16 +179,16 @@
     ) -> result.Result[services.Slot, services.Refusal]:
         """See `services.Router`."""
         with self._lock:
-            refusal = self._refuse(work)
+            refusal = self._unservable_refusal(work)
             if refusal is not None:
                 return result.Err(refusal)
             pool = self._pool(work.model or work.service)
-            slot = None if pool.is_behind(work) else self._place(work)
+            slot = None if pool.must_wait(work) else self._try_place(work)
             if slot is not None:
                 return result.Ok(slot)
             if self._quarantine.is_suspect(work.fingerprint):
                 return result.Err(self._suspect_refusal(pool))
-            return self._wait(work, pool)
+            return self._wait_for_slot(work, pool)
 
     def _count(self, name: str) -> None:
         self._counters[name] = self._counters.get(name, 0) + 1
@@ -193,8 +196,10 @@
     def _pool(self, name: str) -> slots.Pool:
         return self._pools.setdefault(name, slots.Pool(self._make_queue))
 
-    def _refuse(self, work: services.Work) -> services.Refusal | None:
-        """Returns the refusal of what cannot run wherever there is room."""
+    def _unservable_refusal(
+        self, work: services.Work
+    ) -> services.Refusal | None:
+        """Returns a refusal if no free slot could serve the request."""
         if self._quarantine.is_refused(work.fingerprint):
             self._count("quarantined")
             return services.Refusal(
@@ -202,34 +207,34 @@
                 "quarantined",
                 "This request was running at each of several crashes of"
                 " upstreams, and is not run again.",
-                # An earlier run is why it is refused.
+                # The refusal follows from earlier runs of the request.
                 ran="ran",
             )
-        known = self._placement.serving(work).all
-        if not known:
+        serving = self._placement.serving(work).all
+        if not serving:
             return services.Refusal(
                 404,
                 "not_found",
                 f"No upstream serves {work.model or work.service!r}.",
                 field="model" if work.model else "",
             )
-        if any(True for _ in self._placement.usable(known)):
+        if any(True for _ in self._placement.usable(serving)):
             return None
         self._count("no_upstream")
-        names = tuple(upstream.upstream for upstream in known)
+        names = tuple(upstream.upstream for upstream in serving)
         next_s = self._placement.health.next_trial_s(names)
         return services.Refusal(
             503,
             "no_upstream",
             "No upstream answers at present.",
-            retry_after_s=max(_SHORTEST_RETRY_S, next_s),
+            retry_after_s=max(_MIN_RETRY_AFTER_S, next_s),
         )
 
     def _suspect_refusal(self, pool: slots.Pool) -> services.Refusal:
-        """Refuses a suspect for which no upstream is free of suspects.
+        """Refuses a suspect request that cannot be placed at once.
 
-        It does not wait in the queue: at its head it would hold up requests
-        of other customers that have room.
+        A suspect does not wait in the queue: at the head of the queue it
+        would block requests of other customers for which there is room.
         """
         self._count("suspect_refused")
         return services.Refusal(
@@ -237,78 +242,89 @@
             "overloaded",
             "This request was running when an upstream crashed; it has to"
             " wait until it can run apart from others like it.",
-            retry_after_s=max(_SHORTEST_RETRY_S, pool.hold_s),
+            retry_after_s=max(_MIN_RETRY_AFTER_S, pool.hold_s),
         )
 
-    def _place(self, work: services.Work) -> slots.Slot | None:
-        """Returns a slot if one is free."""
+    def _try_place(self, work: services.Work) -> slots.Slot | None:
+        """Takes and returns a slot, or returns `None` if there is no room."""
         is_suspect = self._quarantine.is_suspect(work.fingerprint)
         if work.work_class == "batch":
-            upstream = self._placement.batch_item(work, is_suspect)
+            upstream = self._placement.choose_for_batch(work, is_suspect)
         else:
-            upstream = self._placement.online(
-                work, is_suspect, self._weight(work)
+            upstream = self._placement.choose_for_online(
+                work, is_suspect, self._waiting_weight(work)
             )
         if upstream is None:
             return None
-        running = self._placement.take(work, upstream, is_suspect)
-        if running is None:
-            self._changed(upstream, is_urgent=True)
+        batch_item = self._placement.count_start(work, upstream, is_suspect)
+        if batch_item is None:
+            self._counts_changed(upstream, is_urgent=True)
         self._count(f"placed_{work.work_class}")
         now_s = self._clock.monotonic_s()
-        return slots.Slot(self, work, upstream, running, now_s, is_suspect)
+        return slots.Slot(self, work, upstream, batch_item, now_s, is_suspect)
 
-    def _weight(self, work: services.Work) -> float:
-        """Returns the weight of who waits here, or of who asks first."""
+    def _waiting_weight(self, work: services.Work) -> float:
+        """Returns the weight of the customers that wait here.
+
+        It is at least the weight of the requesting customer.
+        """
         row = self._config.customer(work.customer) or records.Customer("")
         pool = self._pool(work.model or work.service)
         return max(row.weight, pool.online.weight())
 
-    def _changed(self, upstream: records.Upstream, is_urgent: bool) -> None:
-        """Tells the owner of an upstream, or acts as the owner."""
+    def _counts_changed(
+        self, upstream: records.Upstream, is_urgent: bool
+    ) -> None:
+        """Reports changed counts to the owner, or acts as the owner."""
         topology = self.topology()
         if upstream.upstream in topology.owned:
-            self._make_room(upstream)
+            self._yield_surplus_batch(upstream)
             return
         owner = topology.owners.of(upstream.upstream)
-        self._reports.changed(owner, is_urgent)
+        self._inflight_reports.changed(owner, is_urgent)
 
-    def _make_room(self, upstream: records.Upstream) -> None:
-        """Makes batch items yield to online work."""
+    def _yield_surplus_batch(self, upstream: records.Upstream) -> None:
+        """Makes surplus batch items yield to online work."""
         online = self._placement.inflight.total_online(upstream.upstream)
-        for item in self._placement.batch.to_yield(upstream, online):
+        for item in self._placement.batch.mark_yielding(upstream, online):
             if item.yield_callback is not None:
                 _run_callback(item.yield_callback)
 
     def set_yield_callback(
         self, slot: slots.Slot, callback: Callable[[], None]
     ) -> None:
-        """Remembers how a slot's stream is cancelled."""
-        if slot.running is None:
+        """Sets the callback that cancels a batch item's stream.
+
+        If the item has already been chosen to yield, the callback runs now.
+        """
+        if slot.batch_item is None:
             return
         with self._lock:
-            slot.running.yield_callback = callback
-            is_late = slot.running.is_yielding
+            slot.batch_item.yield_callback = callback
+            is_late = slot.batch_item.is_yielding
         if is_late:
             _run_callback(callback)
 
-    def took_load(self, upstream: str, running: int) -> None:
-        """Takes an engine's own count of what it runs and queues."""
+    def update_engine_load(self, upstream: str, running: int) -> None:
+        """Applies an engine's own count of running and queued requests."""
         with self._lock:
-            self._placement.take_load(upstream, running)
+            self._placement.update_external_count(upstream, running)
             self.took_report(frozenset((upstream,)))
 
-    def _wait(
+    def _wait_for_slot(
         self, work: services.Work, pool: slots.Pool
     ) -> result.Result[services.Slot, services.Refusal]:
-        """Waits in the fair queue; called with the lock, which it frees."""
+        """Waits in the queue for a slot.
+
+        The caller holds the lock; waiting releases it meanwhile.
+        """
         row = self._config.customer(work.customer) or records.Customer("")
         weight, longest_s = row.batch_weight, work.deadline_s
         if work.work_class == "online":
-            weight, longest_s = row.weight, min(longest_s, LONGEST_WAIT_S)
+            weight, longest_s = row.weight, min(longest_s, MAX_ONLINE_WAIT_S)
             expected_s = self._expected_wait_s(work, pool, weight)
             if expected_s > longest_s:
-                return result.Err(self._overloaded(expected_s))
+                return result.Err(self._overloaded_refusal(expected_s))
         waiter = slots.Waiter(work, self._lock)
         queue = pool.queue(work)
         ticket = queue.push(work.customer, weight, work.expected_tokens, waiter)
@@ -325,42 +341,42 @@
             return result.Err(waiter.refusal)
         queue.remove(work.customer, ticket)
         expected_s = self._expected_wait_s(work, pool, weight)
-        return result.Err(self._overloaded(expected_s))
+        return result.Err(self._overloaded_refusal(expected_s))
 
     def _expected_wait_s(
         self, work: services.Work, pool: slots.Pool, weight: float
     ) -> float:
         usable = self._placement.usable(self._placement.serving(work).all)
         total = sum(upstream.slots for upstream in usable)
-        # The slots serve every VM's queue alike, and the balancer spreads
-        # callers evenly, so this VM gets its part.
-        part = total / self.topology().vms
-        return pool.expected_wait_s(work.customer, weight, part)
+        # All VMs' queues share the slots, and the load balancer spreads
+        # callers evenly over the VMs, so this VM gets an equal share.
+        share = total / self.topology().vms
+        return pool.expected_wait_s(work.customer, weight, share)
 
-    def _overloaded(self, expected_s: float) -> services.Refusal:
+    def _overloaded_refusal(self, expected_s: float) -> services.Refusal:
         self._count("overloaded")
         return services.Refusal(
             503,
             "overloaded",
             "All upstreams for this are busy.",
-            retry_after_s=max(_SHORTEST_RETRY_S, expected_s),
+            retry_after_s=max(_MIN_RETRY_AFTER_S, expected_s),
         )
 
     def release(self, slot: slots.Slot, outcome: services.Outcome) -> None:
-        """Takes a slot back; tells peers of a crash before it returns."""
+        """Frees a slot; after a crash, notifies peers before it returns."""
         upstream = slot.upstream
         with self._lock:
-            self._note_outcome(slot, outcome)
-            self._placement.give_back(
-                upstream.upstream, slot.running, slot.is_suspect
+            self._record_outcome(slot, outcome)
+            self._placement.count_end(
+                upstream.upstream, slot.batch_item, slot.is_suspect
             )
-            if slot.running is None:
-                self._changed(upstream, is_urgent=False)
+            if slot.batch_item is None:
+                self._counts_changed(upstream, is_urgent=False)
             self._dispatch(upstream)
         if outcome == "crashed":
-            self._notices.crashed(slot.work.fingerprint)
+            self._crash_notices.crashed(slot.work.fingerprint)
 
-    def _note_outcome(
+    def _record_outcome(
         self, slot: slots.Slot, outcome: services.Outcome
     ) -> None:
         name = slot.upstream.upstream
@@ -371,26 +387,26 @@
         if outcome != "ok":
             return
         self._placement.health.succeeded(name)
-        if slot.running is None:
+        if slot.batch_item is None:
             pool = self._pool(slot.work.model or slot.work.service)
-            pool.note_hold(self._clock.monotonic_s() - slot.start_s)
+            pool.record_hold(self._clock.monotonic_s() - slot.start_s)
 
     def _dispatch(self, upstream: records.Upstream) -> None:
-        """Gives free slots to those who wait; called with the lock."""
+        """Gives free slots to waiting requests; the caller holds the lock."""
         for name in (*upstream.models, upstream.service):
             pool = self._pools.get(name)
             if pool is None:
                 continue
-            self._drain(pool, pool.online)
-            self._drain(pool, pool.resumed)
+            self._serve_queue(pool, pool.online)
+            self._serve_queue(pool, pool.resumed)
             if not pool.resumed:
-                self._drain(pool, pool.batch)
+                self._serve_queue(pool, pool.batch)
 
-    def _drain(
+    def _serve_queue(
         self, pool: slots.Pool, queue: queues.Queue[slots.Waiter]
     ) -> None:
         while (waiter := queue.peek()) is not None:
-            waiter.slot = self._place(waiter.work)
+            waiter.slot = self._try_place(waiter.work)
             if waiter.slot is None:
                 if not self._quarantine.is_suspect(waiter.work.fingerprint):
                     return
@@ -399,25 +415,28 @@
             waiter.wakeup.notify()
 
     def wake(self) -> None:
-        """Looks again at all that waits, after a change elsewhere."""
+        """Tries to place all waiting requests after an external change."""
         with self._lock:
             self.took_report(frozenset(self.topology().upstreams))
 
     def took_report(self, upstreams: Iterable[str]) -> None:
-        """Acts on changed counts; called with the lock."""
+        """Acts on changed counts; the caller holds the lock."""
         topology = self.topology()
         for name in upstreams:
             upstream = topology.upstreams.get(name)
             if upstream is None:
                 continue
             if name in topology.owned:
-                self._placement.note_known(name)
-                self._make_room(upstream)
+                self._placement.record_known_count(name)
+                self._yield_surplus_batch(upstream)
             self._dispatch(upstream)
 
 
 def _run_callback(callback: Callable[[], None]) -> None:
-    """Runs a cancellation apart, since the router's lock is held here."""
+    """Runs a cancellation on a new thread.
+
+    The caller may hold the router's lock, which is not held during I/O.
+    """
 
     def run() -> None:
         with contextlib.suppress(OSError):
--- a/packages/daemon/bulrushdeald/topology.py
+++ b/packages/daemon/bulrushdeald/topology.py
@@ -1,4 +1,7 @@
-"""Who serves what and who owns which upstream, worked out once a change."""
+"""Which upstreams serve which model, and which VM owns each upstream.
+
+The topology is computed once after each change of its input.
+"""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -11,8 +14,8 @@
     """The upstreams that serve one model or plain service.
 
     Attributes:
-        near: Those of the own failure domain.
-        far: All others.
+        near: Upstreams in this VM's failure domain.
+        far: Upstreams in other failure domains.
     """
 
     near: tuple[records.Upstream, ...] = ()
@@ -20,16 +23,17 @@
 
     @property
     def all(self) -> tuple[records.Upstream, ...]:
-        """The near ones first."""
+        """All these upstreams, the near ones first."""
         return self.near + self.far
 
 
 class Owners:
-    """The entry VM that sums up each upstream's counts.
+    """Maps each upstream to its owner, an entry VM.
 
-    It alone places batch work on the upstream. Every VM works out the same
-    owners. Those of other failure domains are worked out when they are asked
-    for: at 6,400 upstreams and 1,200 VMs all of them took 0.6 s.
+    The owner sums the upstream's counts and alone places batch work on it.
+    Every VM computes the same owners from the same lists. An owner is computed
+    on first use: computing all of them took 0.6 s with 6,400 upstreams and
+    1,200 VMs.
     """
 
     def __init__(
@@ -38,41 +42,45 @@
         live: Iterable[records.Vm],
     ) -> None:
         self._upstreams = upstreams
-        self._vms: dict[str, list[str]] = {}
+        self._vms_by_domain: dict[str, list[str]] = {}
         for vm in live:
-            self._vms.setdefault(vm.failure_domain, []).append(vm.vm)
-        self._found: dict[str, str] = {}
+            self._vms_by_domain.setdefault(vm.failure_domain, []).append(vm.vm)
+        self._cache: dict[str, str] = {}
 
     def of(self, upstream: str) -> str:
-        """Returns an upstream's owner, empty if there is none."""
-        owner = self._found.get(upstream)
+        """Returns an upstream's owner, or an empty string if there is none."""
+        owner = self._cache.get(upstream)
         if owner is None:
-            owner = self._pick(upstream)
-            self._found[upstream] = owner
+            owner = self._compute_owner(upstream)
+            self._cache[upstream] = owner
         return owner
 
-    def _pick(self, upstream: str) -> str:
+    def _compute_owner(self, upstream: str) -> str:
         row = self._upstreams.get(upstream)
         if row is None:
             return ""
-        near = self._vms.get(row.failure_domain)
+        near = self._vms_by_domain.get(row.failure_domain)
         if near is None:
-            near = [vm for vms in self._vms.values() for vm in vms]
+            near = [vm for vms in self._vms_by_domain.values() for vm in vms]
         return rendezvous.pick(upstream, near)
 
 
 class Topology(NamedTuple):
-    """What follows from the configuration and the list of VMs.
+    """What a VM derives from the configuration and the list of VMs.
+
+    `owned`, `near_owners` and `by_owner` cover only the upstreams in this VM's
+    failure domain and in failure domains that have no live entry VM.
 
     Attributes:
         upstreams: All upstreams by name.
-        by_model: The engines that serve a model.
-        by_service: The plain services of a name.
-        owners: Tells the owner of each upstream.
+        by_model: The engines that serve each model.
+        by_service: The upstreams that serve each plain service.
+        owners: Maps each upstream to its owner.
         owned: The upstreams that this VM owns.
-        near_owners: The other owners of the own failure domain's upstreams.
-        by_owner: Their upstreams and the own ones by owner, in order.
-        vms: How many entry VMs take new requests, at least 1.
+        near_owners: The other VMs that own upstreams.
+        by_owner: The upstreams of each owner, this VM included, sorted by
+            name.
+        vms: Number of live entry VMs, at least 1.
     """
 
     upstreams: Mapping[str, records.Upstream]
@@ -96,7 +104,13 @@
     entry_vms: tuple[records.Vm, ...],
     own: records.Vm,
 ) -> Topology:
-    """Returns the topology as this VM sees it."""
+    """Builds the topology from the point of view of one VM.
+
+    Args:
+        upstreams: All configured upstreams.
+        entry_vms: The listed entry VMs; those that are not live are ignored.
+        own: The VM that the topology is for.
+    """
     by_model: dict[str, list[records.Upstream]] = {}
     by_service: dict[str, list[records.Upstream]] = {}
     for upstream in upstreams:
@@ -107,32 +121,42 @@
     live = [vm for vm in entry_vms if vm.state == "live"]
     by_name = {upstream.upstream: upstream for upstream in upstreams}
     owners = Owners(by_name, live)
-    served = {vm.failure_domain for vm in live}
+    domains_with_vms = {vm.failure_domain for vm in live}
     domain = own.failure_domain
-    # A VM owns upstreams of its own failure domain, and of those that have
-    # no entry VM.
-    near = {
+    # A VM can own upstreams in its own failure domain and in failure domains
+    # that have no live entry VM.
+    owner_by_upstream = {
         upstream.upstream: owners.of(upstream.upstream)
         for upstream in upstreams
         if upstream.failure_domain == domain
-        or upstream.failure_domain not in served
+        or upstream.failure_domain not in domains_with_vms
     }
     by_owner: dict[str, list[str]] = {}
-    for name in sorted(near):
-        by_owner.setdefault(near[name], []).append(name)
+    for name in sorted(owner_by_upstream):
+        by_owner.setdefault(owner_by_upstream[name], []).append(name)
     return Topology(
         by_name,
-        {model: _split(found, domain) for model, found in by_model.items()},
-        {name: _split(found, domain) for name, found in by_service.items()},
+        {
+            model: _split_by_domain(rows, domain)
+            for model, rows in by_model.items()
+        },
+        {
+            name: _split_by_domain(rows, domain)
+            for name, rows in by_service.items()
+        },
         owners,
-        frozenset(name for name, owner in near.items() if owner == own.vm),
-        frozenset(near.values()) - {own.vm, ""},
+        frozenset(
+            name for name, owner in owner_by_upstream.items() if owner == own.vm
+        ),
+        frozenset(owner_by_upstream.values()) - {own.vm, ""},
         {owner: tuple(names) for owner, names in by_owner.items()},
         max(1, len(live)),
     )
 
 
-def _split(found: list[records.Upstream], failure_domain: str) -> Serving:
-    near = [row for row in found if row.failure_domain == failure_domain]
-    far = [row for row in found if row.failure_domain != failure_domain]
+def _split_by_domain(
+    rows: list[records.Upstream], failure_domain: str
+) -> Serving:
+    near = [row for row in rows if row.failure_domain == failure_domain]
+    far = [row for row in rows if row.failure_domain != failure_domain]
     return Serving(tuple(near), tuple(far))
--- a/tests/daemon/test_fairqueue.py
+++ b/tests/daemon/test_fairqueue.py
@@ -27,8 +27,8 @@
     for _ in range(100):
         customer, cost = queue.pop() or ("", 0)
         served[customer] += cost
-        # Start-time fair queueing: normalised service differs by at most
-        # one item of each customer.
+        # Start-time fair queueing guarantees that the weighted service of
+        # two customers differs by at most one item of each.
         for one, weight in weights.items():
             for other, other_weight in weights.items():
                 gap = served[one] / weight - served[other] / other_weight
@@ -36,8 +36,8 @@
 
 
 def test_light_customer_is_next_behind_a_heavy_backlog() -> None:
-    # A customer sends a thousand requests at once; another sends one. The
-    # other would see a wait of a thousand requests if the queue were a FIFO.
+    # One customer sends 1,000 requests at once and another sends one. In a
+    # FIFO the single request would wait behind all the others.
     queue: fairqueue.FairQueue[str] = fairqueue.FairQueue()
     for _ in range(1000):
         queue.push("heavy", 1.0, 10.0, "heavy")
@@ -56,7 +56,8 @@
             waiting[queue.push(customer, 1.0, 1.0, number)] = customer
         elif step == "pop":
             assert (queue.pop() is not None) == bool(waiting)
-            # Equal costs: the ticket that left is found by elimination.
+            # All costs are equal, so the popped ticket is found by comparing
+            # the counts.
             counts = {c: queue.queued(c) for c in CUSTOMERS}
             for ticket in sorted(waiting):
                 if (
--- a/tests/daemon/test_loadpoll.py
+++ b/tests/daemon/test_loadpoll.py
@@ -1,4 +1,4 @@
-"""Tests of the engines' own load reports beside the VMs' counts."""
+"""Tests of polling the engines' load reports."""
 
 from http import server
 import threading
@@ -19,20 +19,20 @@
     steps: list[tuple[int, float]],
 ) -> None:
     clock = clock_lib.FakeClock()
-    window = loadpoll.Window(clock)
-    noted: list[loadpoll.Known] = []
+    window = loadpoll.RecentMaximum(clock)
+    counts: list[loadpoll.KnownCount] = []
     for count, pause_s in steps:
         clock.sleep_s(pause_s)
-        window.note("e1", count)
-        noted.append(loadpoll.Known(clock.now_s, count))
+        window.record("e1", count)
+        counts.append(loadpoll.KnownCount(clock.now_s, count))
         since_s = clock.now_s - loadpoll.WINDOW_S
-        expected = max(k.running for k in noted if k.at_s >= since_s)
-        assert window.most("e1") == expected
-    assert window.most("e2") == 0
+        expected = max(k.running for k in counts if k.at_s >= since_s)
+        assert window.maximum("e1") == expected
+    assert window.maximum("e2") == 0
 
 
 class Engine:
-    """Gives one report after the other; counts its connections."""
+    """Serves the given reports in order and counts its connections."""
 
     def __init__(self, reports: list[bytes], ends_each: bool = False) -> None:
         self.connections = 0
@@ -52,7 +52,7 @@
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
                 self.wfile.write(body)
-                # Without a word of it, as when a kept one times out.
+                # Closes without announcing it, as on a keep-alive timeout.
                 self.close_connection = ends_each
 
             def log_message(self, *arguments: Any) -> None:
@@ -68,14 +68,14 @@
         row = records.Upstream("e1", "engine", address, "up", "d")
         vm = records.Vm("a", "d", "entry")
         self.now = topology.build((row,), (vm,), vm)
-        self.took: list[int] = []
+        self.loads: list[int] = []
 
     def topology(self) -> topology.Topology:
         return self.now
 
-    def took_load(self, upstream: str, running: int) -> None:
+    def update_engine_load(self, upstream: str, running: int) -> None:
         assert upstream == "e1"
-        self.took.append(running)
+        self.loads.append(running)
 
 
 @pytest.mark.parametrize("ends_each", [False, True])
@@ -88,23 +88,24 @@
     polls = loadpoll.LoadPolls(router)
     for _ in range(5):
         polls.poll()
-    assert router.took == [1, 2, 3, 4, 5]
+    assert router.loads == [1, 2, 3, 4, 5]
     assert engine.connections == (5 if ends_each else 1)
     polls.close()
     engine.server.shutdown()
     engine.server.server_close()
 
 
-def test_a_report_that_is_none_changes_nothing() -> None:
+def test_an_invalid_report_changes_nothing() -> None:
     good = b'{"running": 3, "queued": 0}'
     bad = [b"no json", b'{"running": null, "queued": 0}', b"[]", b"x" * 99_999]
-    # The first bad one comes over a kept connection and is asked for again.
+    # The first bad report comes over a kept connection, so the poll is retried
+    # on a new connection.
     engine = Engine([good, bad[0], *bad, good])
     router = Router(engine.address)
     polls = loadpoll.LoadPolls(router)
     for _ in range(6):
         polls.poll()
-    assert router.took == [3, 3]
+    assert router.loads == [3, 3]
     polls.close()
     engine.server.shutdown()
     engine.server.server_close()
@@ -119,4 +120,4 @@
         polls = loadpoll.LoadPolls(router)
         polls.poll()
         polls.poll()
-        assert not router.took
+        assert not router.loads
--- a/tests/daemon/test_queues.py
+++ b/tests/daemon/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of the orders in which waiting requests get their turn."""
+"""Tests of the queue disciplines for waiting requests."""
 
 import threading
 import time
@@ -41,8 +41,9 @@
     [("fair", ["heavy", "light", "heavy"]), ("fifo", ["heavy"] * 2)],
 )
 def test_setting_selects_who_is_next(discipline: str, order: list[str]) -> None:
-    # The only slot is taken; one customer has three requests waiting when
-    # another's comes. In turns it is served second, in a FIFO last.
+    # The only slot is taken and one customer has three waiting requests when
+    # another customer's request arrives. The fair queue serves it second, a
+    # FIFO last.
     kernel = fakes.kernel(
         fakes.Membership(VM, (VM,)),
         fakes.Peers(fakes.Network(), VM.vm),
--- a/tests/daemon/test_router.py
+++ b/tests/daemon/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the router: online before batch, crashes, leaving upstreams."""
+"""Tests of the router: priority of online work, crashes, ownership."""
 
 import threading
 from typing import Any
@@ -36,9 +36,9 @@
 
 
 class Fleet:
-    """Two VMs' routers over two engines, and what runs where."""
+    """The routers of two VMs that share two engines."""
 
-    def __init__(self, by_hand: bool = True) -> None:
+    def __init__(self, manual_reports: bool = True) -> None:
         self.network = fakes.Network()
         self.leaving: set[str] = set()
         self.config = fakes.Config((engine("e1"), engine("e2")))
@@ -58,14 +58,15 @@
                 self.clock,
             )
             router.start()
-            if by_hand:
-                # A router's own thread may have built a report before the
-                # next went by hand, and deliver it after that.
-                vars(router._reports)["_open"] = lambda owner: None
+            if manual_reports:
+                # Keeps the router from starting reporting threads: a thread
+                # may build a report before the test sends a newer one, and
+                # deliver the older report last.
+                vars(router._inflight_reports)["_open"] = lambda owner: None
             self.routers[vm.vm] = router
 
     def cut_owner_off(self, upstream: str) -> tuple[str, str]:
-        """Cuts the owner of an upstream off; returns it and the other VM."""
+        """Cuts off an upstream's owner; returns it and the other VM."""
         owner = self.routers["vm-a"].topology().owners.of(upstream)
         other = "vm-b" if owner == "vm-a" else "vm-a"
         self.network.cuts.add(frozenset((owner, other)))
@@ -88,11 +89,11 @@
 
 
 class OnlineBeforeBatch(stateful.RuleBasedStateMachine):
-    """Online and batch requests on two VMs against a count by hand.
+    """Compares online and batch placement on two VMs with a simple model.
 
-    Story: engines are full of batch items when a burst of online requests
-    comes. Without yielding, or with batch counted as room taken, the burst
-    would wait for items to end.
+    Guards against online requests that wait for batch items to end: a burst
+    arrives while the engines are full of batch items. This happens if batch
+    items do not yield or if they count against the room for online requests.
     """
 
     def __init__(self) -> None:
@@ -100,13 +101,13 @@
         self.fleet = Fleet()
         self.online: list[services.Slot] = []
         self.batch: list[slots.Slot] = []
-        self.yielding: dict[int, threading.Event] = {}
+        self.yield_events: dict[int, threading.Event] = {}
 
     def running(self, upstream: str) -> int:
         return sum(s.upstream.upstream == upstream for s in self.online)
 
     def room(self, upstream: str) -> int:
-        """Returns how many batch items more may run, 0 or less if none."""
+        """Returns how many more batch items may run, at least 0."""
         batch = sum(s.upstream.upstream == upstream for s in self.batch)
         return max(0, SLOTS - RESERVE - self.running(upstream) - batch)
 
@@ -115,7 +116,7 @@
         total = len(self.online)
         slot = take(self.fleet.routers[vm], work("online"))
         self.fleet.report()
-        # Batch never keeps an online request out.
+        # Batch items never block an online request.
         assert (slot is not None) == (total < 2 * SLOTS)
         if slot is not None:
             self.online.append(slot)
@@ -125,14 +126,14 @@
         router = self.fleet.routers[vm]
         has_room = any(map(self.room, router.topology().owned))
         slot = take(router, work("batch"))
-        # Room that is left is used, or batch would crawl.
+        # Free batch slots are used; otherwise batch work would be slow.
         assert (slot is not None) == has_room
         if not isinstance(slot, slots.Slot):
             return
         event = threading.Event()
         slot.on_yield(event.set)
         self.batch.append(slot)
-        self.yielding[id(slot)] = event
+        self.yield_events[id(slot)] = event
 
     @stateful.precondition(lambda self: self.online)
     @stateful.rule(data=st.data())
@@ -150,11 +151,13 @@
     @stateful.invariant()
     def batch_leaves_room(self) -> None:
         for name in ("e1", "e2"):
-            mine = [s for s in self.batch if s.upstream.upstream == name]
+            items = [s for s in self.batch if s.upstream.upstream == name]
             allowed = max(0, SLOTS - RESERVE - self.running(name))
-            told = [s for s in mine if s.running and s.running.is_yielding]
-            assert all(self.yielding[id(s)].wait(5.0) for s in told)
-            assert len(mine) - len(told) <= allowed
+            yielding = [
+                s for s in items if s.batch_item and s.batch_item.is_yielding
+            ]
+            assert all(self.yield_events[id(s)].wait(5.0) for s in yielding)
+            assert len(items) - len(yielding) <= allowed
 
     def teardown(self) -> None:
         self.fleet.stop()
@@ -164,10 +167,10 @@
 
 
 def test_crashing_request_is_bounded_over_vms() -> None:
-    # A caller's request crashes each engine that runs it, and the caller
-    # sends it again through the other VM each time. Without notices between
-    # VMs each VM would let it crash two engines; here two are lost in all,
-    # and the final answer comes at once on both.
+    # A request crashes each engine that runs it, and the caller retries it
+    # through the other VM each time. Without crash notices between VMs, it
+    # would crash two engines for each VM. With them it crashes two in all,
+    # and then both VMs refuse it at once.
     fleet = Fleet()
     lost = 0
     for attempt in range(6):
@@ -187,9 +190,9 @@
 
 
 def test_bystander_of_a_crash_still_runs() -> None:
-    # Two requests run on an engine when one of them crashes it. Both are
-    # suspects; each is then kept apart from the other, so the innocent one
-    # does not crash a second time and gets its answer.
+    # Two requests run on an engine when one of them crashes it. Both become
+    # suspects and no longer run on the same engine, so the harmless one is
+    # not involved in a second crash and is served.
     fleet = Fleet()
     router = fleet.routers["vm-a"]
     slots = [take(router, work("online", name)) for name in ("bad", "good")]
@@ -221,13 +224,13 @@
 
 
 def test_own_failure_domain_comes_first_and_others_take_the_rest() -> None:
-    # A glossary request crosses to another failure domain and waits there,
-    # though the engine beside it is idle.
+    # Guards against requests that go to another failure domain although an
+    # engine in their own is idle.
     fleet = Fleet()
     far = engine("far")._replace(failure_domain="d2")
     fleet.config.set_upstreams(far, engine("near"))
     router = fleet.routers["vm-a"]
-    # The owner of the far one has told what runs there: nothing.
+    # The far engine's owner has reported that nothing runs there.
     fleet.report()
     placed = [take(router, work("online")) for _ in range(2 * SLOTS)]
     names = [slot.upstream.upstream if slot else "" for slot in placed]
@@ -235,9 +238,9 @@
     fleet.stop()
 
 
-def test_resumed_item_goes_where_it_stood_though_others_are_idle() -> None:
-    # A batch item that yielded begins anew on an idle engine, and what the
-    # engine that ran it had kept is lost.
+def test_resumed_item_returns_to_its_upstream_though_others_are_idle() -> None:
+    # Guards against a yielded batch item that restarts on an idle engine
+    # and loses the state that its earlier engine kept.
     fleet = Fleet()
     fleet.config.set_upstreams(*[engine(f"e{n}") for n in range(8)])
     router = fleet.routers["vm-a"]
@@ -264,10 +267,11 @@
     fleet.stop()
 
 
-def test_item_that_yielded_goes_on_where_it_stood_before_new_ones() -> None:
-    # Online bursts make the same items yield again and again. Begun anew on
-    # another engine, or behind the backlog, each would lose its work and the
-    # batch would crawl. Cause: the engine keeps a cancelled stream a while.
+def test_yielded_item_resumes_at_its_upstream_before_new_ones() -> None:
+    # Online bursts make the same items yield repeatedly. An engine keeps the
+    # state of a cancelled stream only for a while, so an item that restarts
+    # on another engine or waits behind the backlog loses its work, and the
+    # batch becomes slow.
     fleet = Fleet()
     owners = fleet.routers["vm-a"].topology().owners
     router = fleet.routers[owners.of("e1")]
@@ -299,11 +303,11 @@
     assert found == ["yielded e1", "new e1"]
 
 
-def test_batch_yields_to_strangers_that_only_the_engine_reports() -> None:
+def test_batch_yields_to_requests_that_only_the_engine_reports() -> None:
     # A VM that is cut off from the owner of an engine goes on sending online
-    # requests there, and the owner has filled it with batch items. The
-    # owner learns of them from the engine's own, late, report. What the
-    # owner itself started after the report was made is not a stranger's.
+    # requests to the engine, which the owner has filled with batch items. The
+    # owner finds these requests only in the engine's lagging load report.
+    # Requests that the owner started after the report are not external.
     fleet = Fleet()
     owner = fleet.routers["vm-a"].topology().owners.of("e1")
     router = fleet.routers[owner]
@@ -312,20 +316,20 @@
     yielded = threading.Semaphore(0)
     for slot in on_e1:
         slot.on_yield(yielded.release)
-    router.took_load("e1", 1)
-    router.took_load("e1", len(on_e1))
+    router.update_engine_load("e1", 1)
+    router.update_engine_load("e1", len(on_e1))
     assert not yielded.acquire(blocking=False)
-    router.took_load("e1", len(on_e1) + 2)
+    router.update_engine_load("e1", len(on_e1) + 2)
     assert yielded.acquire(timeout=5.0)
     assert yielded.acquire(timeout=5.0)
     assert not yielded.acquire(blocking=False)
     fleet.stop()
 
 
-def test_owner_is_told_of_others_requests_and_batch_yields() -> None:
-    # A burst of online requests comes to one VM and waits behind the batch
-    # items of another, which owns the engine and was not told.
-    fleet = Fleet(by_hand=False)
+def test_owner_gets_reports_of_others_requests_and_batch_yields() -> None:
+    # Guards against online requests on one VM that wait behind the batch
+    # items of another: the other VM owns the engine and got no report.
+    fleet = Fleet(manual_reports=False)
     owner = fleet.routers["vm-a"].topology().owners.of("e1")
     other = "vm-b" if owner == "vm-a" else "vm-a"
     yielded = threading.Semaphore(0)
@@ -341,9 +345,9 @@
 
 
 def test_upstreams_of_a_frozen_owner_go_to_another_vm_and_back() -> None:
-    # A VM freezes but stays on the platform's list. All other VMs serve on,
-    # yet no batch item ran on the engines that it owns until the list
-    # dropped it. Cause: ownership followed from the list alone.
+    # A VM freezes but stays on the platform's list. Ownership once followed
+    # from the list alone, so no batch item ran on the engines of the frozen
+    # VM until the list dropped it.
     fleet = Fleet()
     owner, other = fleet.cut_owner_off("e1")
     router = fleet.routers[other]
@@ -360,9 +364,9 @@
     fleet.stop()
 
 
-def test_vm_that_is_gone_leaves_nothing_behind() -> None:
-    # VMs are replaced all day under new names. Each left a thread and what
-    # it had reported, until the daemon ran out of memory.
+def test_removed_vm_leaves_no_state_behind() -> None:
+    # VMs are replaced constantly under new names. Each removed VM left a
+    # thread and its last report, until the daemon ran out of memory.
     fleet = Fleet()
     owner, other = fleet.cut_owner_off("e1")
     router = fleet.routers[other]
--- a/tests/daemon/test_vmqueues.py
+++ b/tests/daemon/test_vmqueues.py
@@ -13,19 +13,20 @@
 
 VMS = (records.Vm("vm-a", "d1", "entry"), records.Vm("vm-b", "d1", "entry"))
 SLOTS = 4
-# As much as may wait: what would take over 5 s is refused at once.
+# The longest possible queue: a request that would wait over 5 s is refused.
 BACKLOG = 2 * SLOTS
-_LONGEST_S = 10.0
+_TIMEOUT_S = 10.0
 ENGINE = records.Upstream(
     "e1", "engine", "127.0.0.1:1", "host", "d1", ("m",), slots=SLOTS
 )
 
 
 def test_a_quiet_customer_is_not_behind_another_vms_backlog() -> None:
-    # One customer floods VM A: it holds all slots and more of its requests
-    # wait there. Another customer's only request waits on VM B. A fills each
-    # slot that it gives back with its own next request before B can hear of
-    # it, so B's waits until A's backlog is gone, or is refused after 5 s.
+    # One customer's requests hold all slots through VM A and more of them
+    # wait there. Another customer's only request waits on VM B. If A gave
+    # each freed slot to its own next request, before B is notified of the
+    # slot, B's request would wait for A's whole backlog or be refused after
+    # 5 s.
     network = fakes.Network()
     routers = [_router(network, vm) for vm in VMS]
     loud, quiet = routers
@@ -54,7 +55,7 @@
     for _ in threads:
         held.pop(0).release("ok")
         _report(routers)
-        slot = placed.get(timeout=_LONGEST_S)
+        slot = placed.get(timeout=_TIMEOUT_S)
         if slot is not None:
             held.append(slot)
     for thread in threads:
@@ -64,11 +65,11 @@
     assert "quiet" in order[:SLOTS]
 
 
-def test_upstream_elsewhere_is_not_filled_before_its_owner_is_heard() -> None:
+def test_far_upstream_is_not_filled_before_its_owner_reports() -> None:
     # A burst fills a failure domain, and its VM sends its whole backlog to
-    # an engine in another domain, which is full as well: the engine runs
-    # twice its slots and answers all of them late. Cause: what runs there
-    # for others was taken as nothing until its owner had answered.
+    # an engine in another domain that is full as well. The engine then runs
+    # twice its slots and answers every request late. The cause was that an
+    # engine counted as idle until its owner had reported.
     far = records.Vm("vm-b", "d2", "entry")
     engine = ENGINE._replace(failure_domain="d2")
     network = fakes.Network()
@@ -76,18 +77,18 @@
     owner = _router(network, far, (VMS[0], far), engine)
     network.cuts.add(frozenset(("vm-a", "vm-b")))
     held = [owner.acquire(_work("quiet")).unwrap() for _ in range(SLOTS)]
-    hurried = _work("loud")._replace(deadline_s=0.01)
-    placed = [near.acquire(hurried) for _ in range(SLOTS)]
+    short_deadline = _work("loud")._replace(deadline_s=0.01)
+    placed = [near.acquire(short_deadline) for _ in range(SLOTS)]
     assert sum(isinstance(each, result.Ok) for each in placed) == 1
     network.cuts.clear()
     near.send_report_to("vm-b")
     held.pop().release("ok")
     near.send_report_to("vm-b")
-    # All slots are taken again, by three of the one and one of the other.
-    assert isinstance(near.acquire(hurried), result.Err)
+    # All slots are taken again: three by the owner, one by the other VM.
+    assert isinstance(near.acquire(short_deadline), result.Err)
     held.pop().release("ok")
     near.send_report_to("vm-b")
-    assert isinstance(near.acquire(hurried), result.Ok)
+    assert isinstance(near.acquire(short_deadline), result.Ok)
     for router in (near, owner):
         router.stop(0)
 
