--- a/packages/daemon/bulrushdeald/countlists.py
+++ b/packages/daemon/bulrushdeald/countlists.py
@@ -1,9 +1,9 @@
-"""Counts without names, between VMs that know the same list of upstreams.
+"""Counts without names, between VMs that have the same list of upstreams.
 
-A VM and the owner of some upstreams work out the same list of these, in the
-same order, while they see the same configuration and VMs; a digest in the
-report tells whether they do. Then numbers are enough, at a third of the
-bytes. Else the report is sent again with names.
+A VM and the owner of some upstreams derive the same list of their names, in
+the same order, while both see the same configuration and VMs. A digest in the
+report shows whether they do. The report then needs only numbers, a third of
+the bytes; otherwise it is sent again with names.
 """
 
 import hashlib
@@ -18,8 +18,8 @@
     """An `inflight.CountsReport` without names.
 
     Attributes:
-        digest: Of the names.
-        online: For each name in order.
+        digest: Digest of the upstreams' names.
+        online: Number of online requests for each name in order.
     """
 
     digest: bytes
@@ -30,9 +30,10 @@
     """An `inflight.CountsTotals` without names.
 
     Attributes:
-        is_known: Whether the owner has the list; else the rest is empty.
-        online: For each name in order.
-        batch: For each name in order.
+        is_known: Whether the owner has the list; if not, the other fields
+            are empty.
+        online: Number of online requests for each name in order.
+        batch: Number of batch items for each name in order.
     """
 
     is_known: bool
@@ -41,7 +42,12 @@
 
 
 class Names:
-    """The upstreams of one owner in order."""
+    """The names of one owner's upstreams.
+
+    Attributes:
+        names: The names in order.
+        digest: Digest that identifies the list in messages.
+    """
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.names = names
@@ -56,7 +62,7 @@
         )
 
     def report(self, listed: ListedReport) -> inflight.CountsReport | None:
-        """Returns a report with its names, `None` if it has other ones."""
+        """Returns a report with names, `None` if it is for another list."""
         if listed.digest != self.digest:
             return None
         if len(listed.online) != len(self.names):
@@ -70,7 +76,10 @@
         )
 
     def listed_totals(self, totals: inflight.CountsTotals) -> ListedTotals:
-        """Returns totals without names, unless they are of others."""
+        """Returns totals without names.
+
+        If they cover other upstreams, the result is marked as not known.
+        """
         if tuple(count.upstream for count in totals.totals) != self.names:
             return ListedTotals(False)
         return ListedTotals(
@@ -80,7 +89,7 @@
         )
 
     def totals(self, listed: ListedTotals) -> inflight.CountsTotals | None:
-        """Returns totals with their names, `None` if they are of others."""
+        """Returns totals with names, `None` if they are for another list."""
         sizes = {len(listed.online), len(listed.batch)}
         if not listed.is_known or sizes != {len(self.names)}:
             return None
--- a/packages/daemon/bulrushdeald/inflight.py
+++ b/packages/daemon/bulrushdeald/inflight.py
@@ -1,11 +1,12 @@
-"""How many requests each upstream runs, over all VMs.
-
-For each upstream one entry VM, its owner, sums what the VMs report. A VM
-reports its own counts to the owners of the upstreams that it uses, when they
-change, and gets the sums back. An owner alone places batch work on an
-upstream, so two VMs never race for the slots that online work leaves.
-Ownership is soft: it follows from the list of VMs, and a wrong belief costs
-only efficiency, never correctness.
+"""Counts of the requests that each upstream runs for all VMs.
+
+Each upstream has one owner, an entry VM that sums the counts that the VMs
+report. A VM reports its own counts to the owners of the upstreams that it
+uses whenever they change, and receives the sums in the answer. Only the owner
+places batch work on an upstream, so two VMs never race for the slots that
+online work leaves free. Ownership is derived from the list of VMs without a
+lock or lease: VMs that see different lists may disagree on the owner, which
+costs efficiency but never correctness.
 """
 
 from collections.abc import Iterable
@@ -13,16 +14,16 @@
 
 from bulrushdeal import clock as clock_lib
 
-_FIRST_EXPIRY_S = 5.0
+_INITIAL_EXPIRY_S = 5.0
 
 
 class Count(NamedTuple):
-    """How many requests run on an upstream.
+    """The number of requests that run on an upstream.
 
     Attributes:
-        upstream: Its name.
-        online: Online requests.
-        batch: Batch items.
+        upstream: The upstream's name.
+        online: Number of online requests.
+        batch: Number of batch items.
     """
 
     upstream: str
@@ -31,10 +32,11 @@
 
 
 class CountsReport(NamedTuple):
-    """What one VM runs, for the owner of these upstreams.
+    """The counts of one VM, sent to the owner of these upstreams.
 
     Attributes:
-        counts: All upstreams of the owner on which the VM runs anything.
+        counts: One entry for each of the owner's upstreams on which the VM
+            runs online requests.
     """
 
     counts: tuple[Count, ...]
@@ -44,8 +46,8 @@
     """The owner's answer to a report.
 
     Attributes:
-        totals: The sums over all VMs, the caller's included, for each
-            upstream that runs anything.
+        totals: The sums over all VMs, the caller included, for each upstream
+            of the owner.
     """
 
     totals: tuple[Count, ...]
@@ -56,114 +58,118 @@
     online: dict[str, int]
 
 
-class _Others(NamedTuple):
+class _RemoteCounts(NamedTuple):
     at_s: float
     counts: dict[str, Count]
 
 
 class Inflight:
-    """Own counts, others' reports and totals; not thread-safe by itself.
+    """This VM's counts, other VMs' reports and owners' totals.
+
+    Not thread-safe: callers hold the router's lock.
 
     Attributes:
-        expiry_s: A VM that has been silent this long has crashed or is cut
-            off; what it ran shows in the upstream's own load report.
+        expiry_s: Age in seconds at which a report or totals expire. Their
+            sender has crashed or is cut off; the requests that it runs then
+            appear in the upstream's own load report.
     """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
-        self.expiry_s = _FIRST_EXPIRY_S
+        self.expiry_s = _INITIAL_EXPIRY_S
         self._online: dict[str, int] = {}
         self._batch: dict[str, int] = {}
-        # In the order in which they came.
+        # Oldest first.
         self._reports: dict[str, _Report] = {}
-        # The sums over these, since there are many and each request asks.
-        self._reported: dict[str, int] = {}
-        self._others: dict[str, _Others] = {}
+        # Sums over `_reports`, kept up to date because every request reads
+        # them and there are many reports.
+        self._reported_sums: dict[str, int] = {}
+        self._remote_counts: dict[str, _RemoteCounts] = {}
         self._external: dict[str, int] = {}
 
     def add_online(self, upstream: str, count: int) -> None:
-        """Changes how many online requests this VM runs there."""
+        """Adds to this VM's count of online requests on an upstream."""
         self._online[upstream] = self._online.get(upstream, 0) + count
         if not self._online[upstream]:
             del self._online[upstream]
 
     def add_batch(self, upstream: str, count: int) -> None:
-        """Changes how many batch items this VM runs there."""
+        """Adds to this VM's count of batch items on an upstream."""
         self._batch[upstream] = self._batch.get(upstream, 0) + count
 
     def own_online(self, upstream: str) -> int:
-        """Returns how many online requests this VM runs there."""
+        """Returns how many online requests this VM runs on an upstream."""
         return self._online.get(upstream, 0)
 
     def own_batch(self, upstream: str) -> int:
-        """Returns how many batch items this VM runs there."""
+        """Returns how many batch items this VM runs on an upstream."""
         return self._batch.get(upstream, 0)
 
     def own_report(self, names: Iterable[str] | None = None) -> CountsReport:
-        """Returns what this VM runs on some upstreams, or on all."""
-        found = self._online if names is None else names
+        """Returns this VM's online counts on the named upstreams, or on all."""
+        selected = self._online if names is None else names
         return CountsReport(
             tuple(
                 Count(name, self._online[name])
-                for name in found
+                for name in selected
                 if self._online.get(name)
             )
         )
 
     def take_report(self, vm: str, report: CountsReport) -> None:
-        """Notes, as owner, what a VM runs; replaces its last report."""
+        """Stores a VM's report at the owner, in place of its last one."""
         self._drop_report(vm)
         online = {count.upstream: count.online for count in report.counts}
         self._reports[vm] = _Report(self._clock.monotonic_s(), online)
         for name, count in online.items():
-            self._reported[name] = self._reported.get(name, 0) + count
+            self._reported_sums[name] = self._reported_sums.get(name, 0) + count
 
     def _drop_report(self, vm: str) -> None:
         report = self._reports.pop(vm, None)
         if report is None:
             return
         for name, count in report.online.items():
-            left = self._reported.get(name, 0) - count
+            left = self._reported_sums.get(name, 0) - count
             if left:
-                self._reported[name] = left
+                self._reported_sums[name] = left
             else:
-                self._reported.pop(name, None)
+                self._reported_sums.pop(name, None)
 
-    def _drop_old_reports(self) -> None:
-        """Drops the reports that are too old; the oldest stand first."""
+    def _drop_expired_reports(self) -> None:
+        """Drops expired reports, starting from the oldest."""
         while self._reports:
             vm, report = next(iter(self._reports.items()))
-            if not self._is_old(report.at_s):
+            if not self._is_expired(report.at_s):
                 return
             self._drop_report(vm)
 
     def prune(self) -> None:
-        """Drops what is too old to count, of VMs that are gone."""
-        self._drop_old_reports()
-        for vm, others in list(self._others.items()):
-            if self._is_old(others.at_s):
-                del self._others[vm]
+        """Drops expired reports and totals of VMs that are gone."""
+        self._drop_expired_reports()
+        for vm, others in list(self._remote_counts.items()):
+            if self._is_expired(others.at_s):
+                del self._remote_counts[vm]
 
     def set_external(self, upstream: str, count: int) -> None:
-        """Notes, as owner, what runs beyond all reports.
+        """Sets how many requests run on an upstream but are in no report.
 
-        The upstream's own load report shows requests of VMs that cannot
-        reach this one.
+        The owner calls this. The upstream's own load report shows these
+        requests; they come from VMs that cannot reach the owner.
         """
         self._external[upstream] = count
 
     def total_online(self, upstream: str) -> int:
-        """Returns, as owner, what is believed to run for all VMs."""
+        """Returns the owner's estimate of the online requests of all VMs."""
         known = self.known_online(upstream)
         return known + self._external.get(upstream, 0)
 
     def known_online(self, upstream: str) -> int:
-        """Returns, as owner, the sum over this VM and those reporting."""
-        self._drop_old_reports()
-        return self.own_online(upstream) + self._reported.get(upstream, 0)
+        """Returns the owner's sum over its own count and all live reports."""
+        self._drop_expired_reports()
+        return self.own_online(upstream) + self._reported_sums.get(upstream, 0)
 
     def totals(self, upstreams: frozenset[str]) -> CountsTotals:
-        """Returns, as owner, the answer to a report."""
+        """Returns the owner's answer to a report."""
         return CountsTotals(
             tuple(
                 Count(name, self.total_online(name), self.own_batch(name))
@@ -174,10 +180,10 @@
     def take_totals(
         self, owner: str, sent: CountsReport, answer: CountsTotals
     ) -> None:
-        """Notes an owner's sums, without the part that this VM reported.
+        """Stores an owner's totals, less the counts that this VM reported.
 
-        What this VM sent since is added when an estimate is asked for, so a
-        stale answer does not hide it.
+        `estimate` adds this VM's current counts, so that an outdated answer
+        does not hide requests placed after the report.
         """
         own = {count.upstream: count.online for count in sent.counts}
         others = {
@@ -188,15 +194,20 @@
             )
             for total in answer.totals
         }
-        self._others[owner] = _Others(self._clock.monotonic_s(), others)
+        self._remote_counts[owner] = _RemoteCounts(
+            self._clock.monotonic_s(), others
+        )
 
     def is_known(self, owner: str) -> bool:
-        """Tells whether an owner's sums are here and not too old."""
-        others = self._others.get(owner)
-        return others is not None and not self._is_old(others.at_s)
+        """Returns whether this VM has unexpired totals of an owner."""
+        others = self._remote_counts.get(owner)
+        return others is not None and not self._is_expired(others.at_s)
 
     def estimate(self, upstream: str, owner: str, own_vm: str) -> Count:
-        """Returns what is believed to run on an upstream now."""
+        """Returns the estimated counts of an upstream.
+
+        Without unexpired totals of the owner these are only this VM's own.
+        """
         if owner == own_vm:
             return Count(
                 upstream, self.total_online(upstream), self.own_batch(upstream)
@@ -205,11 +216,11 @@
             return Count(
                 upstream, self.own_online(upstream), self.own_batch(upstream)
             )
-        others = self._others[owner]
+        others = self._remote_counts[owner]
         other = others.counts.get(upstream, Count(upstream, 0))
         return Count(
             upstream, other.online + self.own_online(upstream), other.batch
         )
 
-    def _is_old(self, at_s: float) -> bool:
+    def _is_expired(self, at_s: float) -> bool:
         return at_s < self._clock.monotonic_s() - self.expiry_s
--- a/packages/daemon/bulrushdeald/inflightreports.py
+++ b/packages/daemon/bulrushdeald/inflightreports.py
@@ -1,9 +1,10 @@
-"""Reports this VM's counts to the owners of upstreams, and answers others.
+"""Exchanges request counts with the owners of upstreams.
 
-There is one thread for each owner, so that a frozen owner holds up nobody
-else. A placement is told at once, with those made while the last report is
-answered, since batch items may have to yield to it; an end is told a little
-later, with what ended meanwhile.
+Each owner has its own reporting thread, so that a frozen owner does not delay
+the reports to others. A new placement is reported at once, together with any
+made while the previous report was in flight, since batch items may have to
+yield to it. The end of a request is reported after a short delay, together
+with others that end in that time.
 """
 
 from collections.abc import Iterable
@@ -21,37 +22,44 @@
 
 RELAXED_DELAY_S = 0.05
 HEARTBEAT_S = 1.0
-# Up to so many owners each is told at the pace above. With more of them the
-# ends of requests and the heartbeats wait longer, so that the messages that a
-# VM sends in a second stay bounded by its own placements.
+# Up to this many owners the delay and the heartbeat interval above apply. With
+# more, both grow in proportion, so that a VM's placements and not the number
+# of owners bound the messages that it sends per second.
 OWNERS_AT_FULL_PACE = 8
 _HEARTBEATS_TO_EXPIRY = 5
-# An owner that brings no answer for this long does nothing for its upstreams.
+# An owner that has not answered for this long counts as silent: it does nothing
+# for its upstreams.
 SILENT_AFTER_S = 5.0
 _CALL_TIMEOUT_S = 1.0
-_LOOK_S = 0.5
-# While two VMs see different lists of upstreams each try costs a message.
+_OWNER_POLL_S = 0.5
+# How long reports carry names after an owner did not have the same list. While
+# two VMs see different lists, each attempt without names costs a message.
 UNKNOWN_LIST_S = 10.0
 
 
 class Owner(Protocol):
-    """What the reports need of the router."""
+    """The part of the router that `Reports` uses."""
 
     def topology(self) -> topology_lib.Topology:
         """Returns who owns which upstream now."""
 
     def set_silent(self, vm: str, is_silent: bool) -> None:
-        """Notes whether an owner answers."""
+        """Sets whether an owner counts as silent."""
 
     def is_silent(self, vm: str) -> bool:
-        """Tells whether an owner is noted as silent."""
+        """Returns whether an owner counts as silent."""
 
     def took_report(self, upstreams: Iterable[str]) -> None:
-        """Acts on changed counts of owned upstreams, with the lock held."""
+        """Acts on changed counts of upstreams; the lock must be held."""
 
 
-class _Channel:
-    """What one owner still has to be told."""
+class _Wakeup:
+    """Wakes the thread that reports to one owner.
+
+    Attributes:
+        changed: Set when there are changes to report.
+        urgent: Set when they must be reported without delay.
+    """
 
     def __init__(self) -> None:
         self.changed = threading.Event()
@@ -59,14 +67,19 @@
 
 
 class _UnknownList(NamedTuple):
-    """A list that an owner did not have, and until when it is not tried."""
+    """A list that an owner did not have.
+
+    Attributes:
+        digest: The digest of the list's names.
+        until_s: Monotonic time until which reports to the owner carry names.
+    """
 
     digest: bytes
     until_s: float
 
 
 class Reports:
-    """Sends and takes `inflight.CountsReport` messages."""
+    """Sends and answers `inflight.CountsReport` messages."""
 
     def __init__(
         self,
@@ -82,44 +95,46 @@
         self._router = router
         self._clock = clock
         self._failing_since_s: dict[str, float] = {}
-        self._channels: dict[str, _Channel] = {}
-        self._turns: dict[str, threading.Lock] = {}
+        self._wakeups: dict[str, _Wakeup] = {}
+        self._send_locks: dict[str, threading.Lock] = {}
         self._unknown_lists: dict[str, _UnknownList] = {}
-        self._lists: dict[str, countlists.Names] = {}
-        self._own_list = countlists.Names(())
-        self._listed_for: topology_lib.Topology | None = None
+        self._names_by_owner: dict[str, countlists.Names] = {}
+        self._own_upstreams = countlists.Names(())
+        self._names_topology: topology_lib.Topology | None = None
         self._stopping = threading.Event()
         self._relaxed_delay_s = RELAXED_DELAY_S
         self._heartbeat_s = HEARTBEAT_S
 
     def start(self) -> None:
-        """Begins to answer and to look for owners."""
+        """Registers the message handlers and starts reporting to owners."""
         self._peers.understand(inflight.CountsTotals)
         self._peers.understand(countlists.ListedTotals)
         quick = services.QuickHandler
-        self._peers.handle(inflight.CountsReport, quick(self._take))
-        self._peers.handle(countlists.ListedReport, quick(self._take_listed))
+        self._peers.handle(inflight.CountsReport, quick(self._on_report))
+        self._peers.handle(
+            countlists.ListedReport, quick(self._on_listed_report)
+        )
         threading.Thread(
             target=self._watch_owners, name="count-owners", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Ends the threads soon."""
+        """Signals the threads to end, without waiting for them."""
         self._stopping.set()
-        for channel in list(self._channels.values()):
-            channel.urgent.set()
-            channel.changed.set()
+        for wakeup in list(self._wakeups.values()):
+            wakeup.urgent.set()
+            wakeup.changed.set()
 
     def changed(self, owner: str, is_urgent: bool) -> None:
-        """Has an owner told soon; called with the router's lock held."""
-        channel = self._channels.get(owner) or self._open(owner)
-        if channel is None:
+        """Schedules a report to an owner; the router's lock must be held."""
+        wakeup = self._wakeups.get(owner) or self._open(owner)
+        if wakeup is None:
             return
         if is_urgent:
-            channel.urgent.set()
-        channel.changed.set()
+            wakeup.urgent.set()
+        wakeup.changed.set()
 
-    def _take(
+    def _on_report(
         self, vm: str, report: inflight.CountsReport
     ) -> inflight.CountsTotals:
         with self._lock:
@@ -128,7 +143,7 @@
             self._router.took_report(owned)
             return self._counts.totals(owned)
 
-    def _take_listed(
+    def _on_listed_report(
         self, vm: str, listed: countlists.ListedReport
     ) -> countlists.ListedTotals:
         with self._lock:
@@ -136,36 +151,41 @@
         report = names.report(listed)
         if report is None:
             return countlists.ListedTotals(False)
-        return names.listed_totals(self._take(vm, report))
+        return names.listed_totals(self._on_report(vm, report))
 
     def _names(self, owner: str) -> countlists.Names:
-        """Returns a near owner's upstreams; called with the lock."""
+        """Returns the names of an owner's upstreams; the lock must be held.
+
+        Empty if none of them is near; see `topology.Topology`.
+        """
         topology = self._router.topology()
-        if topology is not self._listed_for:
-            self._listed_for = topology
-            self._lists.clear()
-            self._own_list = countlists.Names(tuple(sorted(topology.owned)))
-        if owner not in self._lists:
+        if topology is not self._names_topology:
+            self._names_topology = topology
+            self._names_by_owner.clear()
+            self._own_upstreams = countlists.Names(
+                tuple(sorted(topology.owned))
+            )
+        if owner not in self._names_by_owner:
             names = topology.by_owner.get(owner, ())
-            self._lists[owner] = countlists.Names(names)
-        return self._lists[owner]
+            self._names_by_owner[owner] = countlists.Names(names)
+        return self._names_by_owner[owner]
 
     def _own_names(self) -> countlists.Names:
-        """Returns the upstreams owned here; called with the lock."""
+        """Returns the names of the upstreams owned here, with the lock held."""
         self._names("")
-        return self._own_list
+        return self._own_upstreams
 
     def _watch_owners(self) -> None:
-        while not self._stopping.wait(_LOOK_S):
+        while not self._stopping.wait(_OWNER_POLL_S):
             with self._lock:
                 self._set_pace()
                 self._counts.prune()
-                self._forget_unknown()
+                self._drop_expired_unknown_lists()
                 for owner in self._router.topology().near_owners:
-                    if owner not in self._channels:
+                    if owner not in self._wakeups:
                         self._open(owner)
 
-    def _forget_unknown(self) -> None:
+    def _drop_expired_unknown_lists(self) -> None:
         now_s = self._clock.monotonic_s()
         for owner, unknown in list(self._unknown_lists.items()):
             if unknown.until_s <= now_s:
@@ -178,41 +198,41 @@
         self._heartbeat_s = HEARTBEAT_S * factor
         self._counts.expiry_s = self._heartbeat_s * _HEARTBEATS_TO_EXPIRY
 
-    def _open(self, owner: str) -> _Channel | None:
-        """Begins to report to an owner; called with the lock."""
+    def _open(self, owner: str) -> _Wakeup | None:
+        """Starts a reporting thread for an owner, with the lock held."""
         if not owner or self._stopping.is_set():
             return None
-        channel = self._channels[owner] = _Channel()
+        wakeup = self._wakeups[owner] = _Wakeup()
         threading.Thread(
             target=self._report_to,
-            args=(owner, channel),
+            args=(owner, wakeup),
             name=f"counts-{owner}",
             daemon=True,
         ).start()
-        return channel
+        return wakeup
 
-    def _report_to(self, owner: str, channel: _Channel) -> None:
+    def _report_to(self, owner: str, wakeup: _Wakeup) -> None:
         while not self._stopping.is_set():
-            if channel.changed.wait(self._heartbeat_s):
-                self._gather(channel)
-            channel.changed.clear()
-            channel.urgent.clear()
+            if wakeup.changed.wait(self._heartbeat_s):
+                self._wait_for_more(wakeup)
+            wakeup.changed.clear()
+            wakeup.urgent.clear()
             is_idle = not self.send(owner).counts
             with self._lock:
-                # The last report to an owner elsewhere said that nothing
-                # runs any more; the next request there opens it again.
-                if is_idle and not self._is_needed(owner, channel):
+                # The owner has no near upstreams and its last report was
+                # empty. The next request there starts a new thread.
+                if is_idle and not self._keeps_reporting(owner, wakeup):
                     self._failing_since_s.pop(owner, None)
-                    self._turns.pop(owner, None)
-                    del self._channels[owner]
+                    self._send_locks.pop(owner, None)
+                    del self._wakeups[owner]
                     return
 
-    def _is_needed(self, owner: str, channel: _Channel) -> bool:
-        """Tells whether an owner is to be reported to with nothing to say."""
+    def _keeps_reporting(self, owner: str, wakeup: _Wakeup) -> bool:
+        """Returns whether an owner gets reports even if they are empty."""
         if owner in self._router.topology().near_owners:
             return True
-        # A silent one is asked on, or it would count as silent for ever.
-        return channel.changed.is_set() or self._router.is_silent(owner)
+        # Without further reports a silent owner would stay silent forever.
+        return wakeup.changed.is_set() or self._router.is_silent(owner)
 
     def _note_failure(self, owner: str) -> None:
         now_s = self._clock.monotonic_s()
@@ -225,28 +245,28 @@
             _log.warning("VM %s is silent; others own its upstreams.", owner)
             self._router.set_silent(owner, True)
 
-    def _gather(self, channel: _Channel) -> None:
-        """Waits with ends, so that one message tells of several."""
-        channel.urgent.wait(self._relaxed_delay_s)
+    def _wait_for_more(self, wakeup: _Wakeup) -> None:
+        """Delays a report of ended requests so that it covers several."""
+        wakeup.urgent.wait(self._relaxed_delay_s)
 
     def send(self, owner: str) -> inflight.CountsReport:
-        """Sends one report, takes the totals in its answer, returns it.
+        """Sends one report, stores the totals it brings and returns the report.
 
-        One at a time to an owner: an older report that came after a newer
-        one would stay there as what this VM runs.
+        Reports to one owner are sent one at a time: an older report that
+        arrived after a newer one would replace it at the owner.
         """
-        with self._turn(owner):
+        with self._send_lock(owner):
             return self._send(owner)
 
-    def _turn(self, owner: str) -> threading.Lock:
+    def _send_lock(self, owner: str) -> threading.Lock:
         with self._lock:
-            return self._turns.setdefault(owner, threading.Lock())
+            return self._send_locks.setdefault(owner, threading.Lock())
 
     def _send(self, owner: str) -> inflight.CountsReport:
         with self._lock:
             names = self._names(owner)
             report = self._own_report(owner, names)
-        totals = self._ask(owner, names, report)
+        totals = self._exchange(owner, names, report)
         if totals is None:
             self._note_failure(owner)
             return report
@@ -270,13 +290,17 @@
             )
         )
 
-    def _ask(
+    def _exchange(
         self,
         owner: str,
         names: countlists.Names,
         report: inflight.CountsReport,
     ) -> inflight.CountsTotals | None:
-        """Sends a report, without names if the owner has the same list."""
+        """Sends a report, without names unless the owner lacks the list.
+
+        Returns:
+            The owner's totals; `None` if the call failed.
+        """
         if names.names and not self._is_unknown(owner, names):
             answer = self._peers.call(
                 owner, names.listed(report), _CALL_TIMEOUT_S
--- a/packages/daemon/bulrushdeald/waitreports.py
+++ b/packages/daemon/bulrushdeald/waitreports.py
@@ -1,4 +1,4 @@
-"""Tells owners of upstreams what waits here, while anything does."""
+"""Reports waiting requests to the owners of upstreams while there are any."""
 
 import threading
 from typing import Protocol
@@ -9,30 +9,31 @@
 from bulrushdeald import topology as topology_lib
 from bulrushdeald import waits as waits_lib
 
-# How long a free slot that is left to others stays empty at most, about.
-# With many owners a VM tells each less often, so that its messages stay
-# bounded; then there are many VMs too, and one of them asks soon.
-PACE_S = 0.1
-_LONGEST_PACE_S = 1.0
-_OWNERS_AT_FULL_PACE = 2
+# Interval between the reports to an owner. A free slot that is left to others
+# stays empty for about this long at most. With many owners a VM reports to each
+# less often, so that its message rate stays bounded; there are many VMs too
+# then, and one of them asks soon.
+_INTERVAL_S = 0.1
+_MAX_INTERVAL_S = 1.0
+_OWNERS_AT_FULL_RATE = 2
 _CALL_TIMEOUT_S = 0.25
 
 
 class Router(Protocol):
-    """What the reports need of the router."""
+    """The part of the router that `WaitReports` uses."""
 
     def topology(self) -> topology_lib.Topology:
         """Returns who owns which upstream now."""
 
     def is_silent(self, vm: str) -> bool:
-        """Tells whether an owner is noted as silent."""
+        """Returns whether an owner counts as silent."""
 
     def ask_counts(self, owner: str) -> None:
-        """Has an owner asked for its counts soon."""
+        """Schedules a request for an owner's counts."""
 
 
 class WaitReports:
-    """Sends and takes `waits.WaitingReport` messages on one thread."""
+    """Answers `waits.WaitingReport` messages and sends them on one thread."""
 
     def __init__(
         self,
@@ -45,37 +46,37 @@
         self._waits = waits
         self._lock = lock
         self._router = router
-        self._told: frozenset[str] = frozenset()
-        self._begun = threading.Event()
+        self._reported_owners: frozenset[str] = frozenset()
+        self._has_waiting = threading.Event()
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begins to answer and to report."""
+        """Registers the message handlers and starts the reporting thread."""
         self._peers.understand(waits_lib.WaitingTotals)
         self._peers.handle(
-            waits_lib.WaitingReport, services.QuickHandler(self._take)
+            waits_lib.WaitingReport, services.QuickHandler(self._on_report)
         )
         threading.Thread(target=self._run, name="waiting", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread soon."""
+        """Signals the thread to end, without waiting for it."""
         self._stopping.set()
-        self._begun.set()
+        self._has_waiting.set()
 
     def began(self) -> None:
-        """Notes that something waits here."""
-        self._begun.set()
+        """Starts reporting, since a request waits at this VM."""
+        self._has_waiting.set()
 
     def send(self, owner: str) -> None:
-        """Tells one owner what waits here, and takes its answer."""
+        """Reports waiting requests to one owner and stores its answer."""
         with self._lock:
-            report = waits_lib.WaitingReport(self._waits.own())
+            report = waits_lib.WaitingReport(self._waits.own_waiting())
         answer = self._peers.call(owner, report, _CALL_TIMEOUT_S)
         if isinstance(answer, result.Ok):
             with self._lock:
                 self._waits.take_totals(owner, answer.ok_value)
 
-    def _take(
+    def _on_report(
         self, vm: str, report: waits_lib.WaitingReport
     ) -> waits_lib.WaitingTotals:
         with self._lock:
@@ -84,30 +85,33 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            self._begun.wait()
-            self._begun.clear()
-            while not self._stopping.is_set() and self._tell():
-                self._stopping.wait(self._pace_s())
+            self._has_waiting.wait()
+            self._has_waiting.clear()
+            while not self._stopping.is_set() and self._report_to_owners():
+                self._stopping.wait(self._interval_s())
 
-    def _tell(self) -> bool:
-        """Tells owners what waits; false if nothing does any more.
+    def _report_to_owners(self) -> bool:
+        """Reports waiting requests to their owners; false if none are left.
 
-        Those told before hear of the end as well, and leave no slot for it.
+        Owners of the previous round get a report as well, even if it is
+        empty, so that they leave no slots for requests that wait no longer.
         """
         with self._lock:
-            waiting = self._waits.own()
-        concerned = self._owners(waiting)
-        for owner in concerned | self._told:
+            waiting = self._waits.own_waiting()
+        owners = self._owners_of(waiting)
+        for owner in owners | self._reported_owners:
             if self._router.is_silent(owner):
                 continue
             self.send(owner)
-            if owner in concerned:
+            if owner in owners:
                 self._router.ask_counts(owner)
-        self._told = concerned
+        self._reported_owners = owners
         return bool(waiting)
 
-    def _owners(self, waiting: tuple[waits_lib.Waiting, ...]) -> frozenset[str]:
-        """Returns the other near owners of upstreams that are waited for."""
+    def _owners_of(
+        self, waiting: tuple[waits_lib.Waiting, ...]
+    ) -> frozenset[str]:
+        """Returns the other near owners of upstreams with waiting requests."""
         topology = self._router.topology()
         upstreams = [
             upstream.upstream
@@ -121,6 +125,6 @@
         owners = {topology.owners.of(name) for name in upstreams}
         return frozenset(owners & topology.near_owners)
 
-    def _pace_s(self) -> float:
-        factor = max(1.0, len(self._told) / _OWNERS_AT_FULL_PACE)
-        return min(_LONGEST_PACE_S, PACE_S * factor)
+    def _interval_s(self) -> float:
+        factor = max(1.0, len(self._reported_owners) / _OWNERS_AT_FULL_RATE)
+        return min(_MAX_INTERVAL_S, _INTERVAL_S * factor)
--- a/packages/daemon/bulrushdeald/waits.py
+++ b/packages/daemon/bulrushdeald/waits.py
@@ -1,13 +1,13 @@
-"""Who else waits for an upstream's slots, so that a VM leaves them theirs.
-
-Each VM has a fair queue of its own. The failure: a VM with a backlog fills
-each slot that it gives back with its own next request, before another VM can
-hear that the slot is free. It shows as a quiet customer, whose only request
-waits at a VM that holds few slots, behind the whole backlog of a loud one
-elsewhere. So VMs tell the owners of upstreams what waits, and one that holds
-its part of an upstream's slots leaves a free one to the others. The guard
-holds because the parts of those that wait add up to all slots: while one is
-free, some VM that waits is below its part.
+"""Online requests that wait at other VMs, and the slots left free for them.
+
+Each VM has its own fair queue. On its own, a VM with a backlog would fill
+each slot that it frees with its own next request, before another VM can learn
+that the slot is free. A customer whose only request waits at a VM that holds
+few slots would then be served after the whole backlog of a busy customer
+elsewhere. So each VM reports its waiting requests to the owners of upstreams,
+and a VM that holds its share of an upstream's slots leaves a free slot to the
+others. At least one VM takes the slot: the shares of the waiting VMs add up to
+all slots, so while a slot is free, some waiting VM holds less than its share.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
 
-# What a VM said longer ago counts no more: it may be lost or cut off.
+# A message older than this is ignored: its sender may be lost or cut off.
 EXPIRY_S = 3.0
 
 
@@ -25,8 +25,9 @@
 
     Attributes:
         pool: The model or service.
-        requests: How many wait.
-        weight: Of the customers who wait, each counted once for a VM.
+        requests: Number of waiting requests.
+        weight: Sum of the weights of the customers who wait, each counted
+            once for each VM.
     """
 
     pool: str
@@ -35,86 +36,93 @@
 
 
 class WaitingReport(NamedTuple):
-    """What waits at one VM, for the owner of upstreams."""
+    """The requests that wait at one VM, sent to an owner of upstreams."""
 
     waiting: tuple[Waiting, ...]
 
 
 class WaitingTotals(NamedTuple):
-    """The owner's answer: what waits at all VMs but the asker."""
+    """The owner's answer: what waits at all VMs except the caller."""
 
     waiting: tuple[Waiting, ...]
 
 
-class _Heard(NamedTuple):
+class _Received(NamedTuple):
     at_s: float
     waiting: tuple[Waiting, ...]
 
 
 class Waits:
-    """What waits here and elsewhere; the router's lock guards it."""
+    """Requests that wait at this and other VMs, under the router's lock."""
 
     def __init__(
         self,
         clock: clock_lib.Clock,
-        own: Callable[[], tuple[Waiting, ...]],
+        own_waiting: Callable[[], tuple[Waiting, ...]],
     ) -> None:
-        """Begins with nobody else waiting.
+        """Initializes the state with no requests at other VMs.
 
         Args:
-            clock: For the age of what was heard.
-            own: Returns what waits here.
+            clock: Measures the age of reports and totals.
+            own_waiting: Returns the requests that wait at this VM.
         """
         self._clock = clock
-        self.own = own
-        self._reports: dict[str, _Heard] = {}
-        self._totals: dict[str, _Heard] = {}
+        self.own_waiting = own_waiting
+        self._reports: dict[str, _Received] = {}
+        self._totals: dict[str, _Received] = {}
 
     def take_report(self, vm: str, report: WaitingReport) -> None:
-        """Notes, as owner, what waits at a VM."""
+        """Stores a VM's report at the owner."""
         if report.waiting:
-            self._reports[vm] = self._heard(report.waiting)
+            self._reports[vm] = self._received(report.waiting)
         else:
             self._reports.pop(vm, None)
 
-    def totals(self, asker: str) -> WaitingTotals:
-        """Returns, as owner, the answer to a report."""
-        return WaitingTotals(_sum((*self._reported(asker), *self.own())))
+    def totals(self, caller: str) -> WaitingTotals:
+        """Returns the owner's answer to a report."""
+        return WaitingTotals(
+            _sum_by_pool((*self._reported(caller), *self.own_waiting()))
+        )
 
     def take_totals(self, owner: str, totals: WaitingTotals) -> None:
-        """Notes an owner's answer."""
+        """Stores an owner's answer."""
         if totals.waiting:
-            self._totals[owner] = self._heard(totals.waiting)
+            self._totals[owner] = self._received(totals.waiting)
         else:
             self._totals.pop(owner, None)
 
     def others(self, owner: str, own_vm: str, pool: str) -> Waiting:
-        """Returns what waits at other VMs, as an upstream's owner knows."""
+        """Returns the requests that wait at other VMs, as known to an owner."""
         if owner == own_vm:
             known = self._reported("")
         else:
-            heard = self._totals.get(owner)
-            known = heard.waiting if heard and not self._is_old(heard) else ()
-        for waiting in _sum(known):
+            received = self._totals.get(owner)
+            known = (
+                received.waiting
+                if received and not self._is_expired(received)
+                else ()
+            )
+        for waiting in _sum_by_pool(known):
             if waiting.pool == pool:
                 return waiting
         return Waiting(pool, 0, 0.0)
 
-    def _heard(self, waiting: tuple[Waiting, ...]) -> _Heard:
-        return _Heard(self._clock.monotonic_s(), waiting)
+    def _received(self, waiting: tuple[Waiting, ...]) -> _Received:
+        return _Received(self._clock.monotonic_s(), waiting)
 
-    def _is_old(self, heard: _Heard) -> bool:
-        return heard.at_s < self._clock.monotonic_s() - EXPIRY_S
+    def _is_expired(self, received: _Received) -> bool:
+        return received.at_s < self._clock.monotonic_s() - EXPIRY_S
 
-    def _reported(self, but: str) -> tuple[Waiting, ...]:
-        for vm, heard in list(self._reports.items()):
-            if self._is_old(heard):
+    def _reported(self, excluded_vm: str) -> tuple[Waiting, ...]:
+        """Returns the unexpired reports of all VMs except one."""
+        for vm, received in list(self._reports.items()):
+            if self._is_expired(received):
                 del self._reports[vm]
         return tuple(
             waiting
-            for vm, heard in self._reports.items()
-            if vm != but
-            for waiting in heard.waiting
+            for vm, received in self._reports.items()
+            if vm != excluded_vm
+            for waiting in received.waiting
         )
 
 
@@ -122,25 +130,26 @@
     upstream: records.Upstream,
     running: int,
     free: int,
-    own: float,
+    own_weight: float,
     others: Waiting,
 ) -> bool:
-    """Tells whether a VM leaves a free slot to others that wait.
+    """Returns whether this VM leaves a free slot to waiting VMs.
 
     Args:
-        upstream: Whose slot.
-        running: Online requests that this VM runs there.
-        free: Slots that no online request takes.
-        own: The weight of the customers who wait here, or ask now.
-        others: What waits at other VMs.
+        upstream: The upstream that has the free slot.
+        running: Number of online requests that this VM runs there.
+        free: Number of slots without an online request.
+        own_weight: Sum of the weights of the customers who wait at this VM;
+            at least that of the customer whose request is being placed.
+        others: The requests that wait at other VMs.
     """
     if not others.requests or free > others.requests:
         return False
-    part = upstream.slots * own / (own + others.weight)
-    return running >= part
+    share = upstream.slots * own_weight / (own_weight + others.weight)
+    return running >= share
 
 
-def _sum(found: Iterable[Waiting]) -> tuple[Waiting, ...]:
+def _sum_by_pool(found: Iterable[Waiting]) -> tuple[Waiting, ...]:
     sums: dict[str, Waiting] = {}
     for waiting in found:
         pool = waiting.pool
--- a/tests/daemon/test_countlists.py
+++ b/tests/daemon/test_countlists.py
@@ -1,9 +1,9 @@
-"""Reports of counts without names, and the sums over many reports.
+"""Tests of count reports without names, and of the sums over many reports.
 
-Story: an upstream is added, and for some seconds two VMs see different lists
-of upstreams. A report without names is then taken for other upstreams: an
-engine that is full of online requests counts as free, and is filled up with
-batch items.
+After an upstream is added, two VMs see different lists of upstreams for some
+seconds. The tests guard against a report without names being applied to the
+wrong upstreams: an engine full of online requests would count as free and be
+filled up with batch items.
 """
 
 from collections.abc import Iterable
@@ -62,7 +62,7 @@
 
 
 class SumsOfReports(stateful.RuleBasedStateMachine):
-    """The owner's sums against adding up the latest reports each time."""
+    """Checks the owner's sums against the sum over the latest reports."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -95,12 +95,13 @@
 
     @stateful.rule(expiry_s=st.sampled_from((3.0, 5.0, 8.0)))
     def set_pace(self, expiry_s: float) -> None:
-        # A report that was dropped already does not come back.
-        self.drop_old()
+        # Pruned before the change: a longer expiry does not restore a report
+        # that has already expired.
+        self.drop_expired()
         self.counts.prune()
         self.counts.expiry_s = expiry_s
 
-    def drop_old(self) -> None:
+    def drop_expired(self) -> None:
         since_s = self.clock.now_s - self.counts.expiry_s
         self.reports = {
             vm: report
@@ -110,7 +111,7 @@
 
     @stateful.invariant()
     def sums_are_right(self) -> None:
-        self.drop_old()
+        self.drop_expired()
         for upstream in "ab":
             expected = self.own.get(upstream, 0) + sum(
                 online.get(upstream, 0) for _, online in self.reports.values()
@@ -121,9 +122,10 @@
 TestSumsOfReports = SumsOfReports.TestCase
 
 
-def test_a_report_of_nothing_can_be_taken_back() -> None:
-    # The state machine found it: the first of two reports that nothing runs
-    # on an upstream took its sum away, and the second failed.
+def test_a_report_of_zero_requests_can_be_replaced() -> None:
+    # Two VMs report zero requests on an upstream. Replacing the first report
+    # removed the upstream's sum, and replacing the second failed. The state
+    # machine above found this.
     counts = inflight.Inflight(clock_lib.FakeClock())
     for online in (0, 0, 3):
         for vm in "xy":
@@ -144,7 +146,7 @@
     routers: dict[str, router_lib.UpstreamRouter] = {}
     configs: dict[str, fakes.Config] = {}
     for vm in vms:
-        # The last upstreams were added; vm-b has not heard of them yet.
+        # The last upstreams are new; vm-b does not see them yet.
         seen = rows if vm.vm == "vm-a" else rows[:3]
         configs[vm.vm] = fakes.Config(seen)
         kernel = fakes.kernel(
@@ -165,7 +167,7 @@
         work = services.Work("c", "online", "m", "", b"", 10, "", 0.0)
         assert reporting.acquire(work).is_ok()
 
-    def told() -> dict[str, int]:
+    def differences() -> dict[str, int]:
         here = reporting.dump()["upstreams"]
         there = owning.dump()["upstreams"]
         return {
@@ -175,26 +177,26 @@
 
     reporting.send_report_to("vm-b")
     assert any(name in owning.topology().owned for name in owned)
-    assert not any(told().values())
-    # Now it has heard of them; after a while the names are left out again.
+    assert not any(differences().values())
+    # Now vm-b sees them; after a while reports omit the names again.
     configs["vm-b"].all_upstreams = rows
     for callback in configs["vm-b"].callbacks:
         callback()
     assert owning.topology().by_owner["vm-b"] == owned
     clock.sleep_s(inflightreports.UNKNOWN_LIST_S)
     reporting.send_report_to("vm-b")
-    assert not any(told().values())
+    assert not any(differences().values())
     for router in routers.values():
         router.stop(0)
 
 
-class SlowNetwork:
-    """Delivers the first report only when it is told to."""
+class DelayingPeers:
+    """Delivers the first report only when `may_deliver` is set."""
 
     def __init__(self) -> None:
         self.delivered: list[tuple[int, ...]] = []
-        self.began = threading.Event()
-        self.go_on = threading.Event()
+        self.has_first_call = threading.Event()
+        self.may_deliver = threading.Event()
 
     def handle(self, kind: type[Any], handler: Any) -> None:
         pass
@@ -204,16 +206,16 @@
 
     def call(self, vm: str, message: Any, timeout_s: float) -> Any:
         del vm, timeout_s
-        if not self.began.is_set():
-            self.began.set()
-            self.go_on.wait(_LONG_S)
+        if not self.has_first_call.is_set():
+            self.has_first_call.set()
+            self.may_deliver.wait(_LONG_S)
         self.delivered.append(message.online)
         online = message.online
         return result.Ok(countlists.ListedTotals(True, online, (0,)))
 
 
-class OneOwner:
-    """The router of a VM that owns nothing beside one that owns all."""
+class SingleOwnerRouter:
+    """The router of a VM beside one that owns all upstreams."""
 
     def __init__(self) -> None:
         own = records.Vm("vm-a", "d1", "entry")
@@ -235,25 +237,30 @@
 
 
 def test_an_older_report_does_not_come_after_a_newer_one() -> None:
-    # Two threads report to an owner, and the one that counted first is the
-    # slower one. The owner then believed that a request still ran, and left
-    # its slot free of batch items until the next report. The router's state
-    # machine found it in 2 of 22 runs.
-    network = SlowNetwork()
+    # Two threads report to an owner, and the older report arrives last. The
+    # owner then counted a request that had ended, and kept its slot free of
+    # batch items until the next report. The router's state machine found this
+    # in 2 of 22 runs.
+    network = DelayingPeers()
     counts = inflight.Inflight(clock_lib.FakeClock())
     reports = inflightreports.Reports(
-        network, counts, threading.Lock(), OneOwner(), clock_lib.FakeClock()
+        network,
+        counts,
+        threading.Lock(),
+        SingleOwnerRouter(),
+        clock_lib.FakeClock(),
     )
     counts.add_online("e", 1)
     older = threading.Thread(target=reports.send, args=("vm-b",))
     older.start()
-    assert network.began.wait(_LONG_S)
+    assert network.has_first_call.wait(_LONG_S)
     counts.add_online("e", -1)
     newer = threading.Thread(target=reports.send, args=("vm-b",))
     newer.start()
-    # Time enough to overtake; if it is too short nothing fails wrongly.
+    # Gives the newer report time to overtake the older one. If the time is too
+    # short, the test still passes.
     newer.join(0.2)
-    network.go_on.set()
+    network.may_deliver.set()
     older.join(_LONG_S)
     newer.join(_LONG_S)
     assert network.delivered == [(1,), (0,)]
--- a/tests/daemon/test_waits.py
+++ b/tests/daemon/test_waits.py
@@ -1,4 +1,4 @@
-"""Tests of the slots that a VM leaves to what waits at others."""
+"""Tests of the slots that a VM leaves free for other waiting VMs."""
 
 from typing import NamedTuple
 
@@ -34,11 +34,11 @@
 
 
 @hypothesis.given(vms, st.integers(0, 6), st.integers(1, 20))
-def test_a_free_slot_is_never_left_by_all(
+def test_a_free_slot_is_never_left_by_all_waiting_vms(
     waiting: list[Vm], elsewhere: int, free: int
 ) -> None:
-    # Each of the VMs that wait leaves a free slot to the others, and requests
-    # time out beside an idle engine.
+    # If every waiting VM left a free slot to the others, requests would time
+    # out beside an idle engine.
     running = elsewhere + sum(vm.running for vm in waiting)
     upstream = ENGINE._replace(slots=running + free)
     assert not all(
@@ -57,17 +57,17 @@
     )
 
 
-def test_what_a_lost_vm_waited_for_is_not_left_to_it() -> None:
-    # A VM dies with requests waiting, and the others leave slots to it until
-    # the platform's list drops it. Cause: what it told last stays in force.
+def test_no_slots_are_left_to_a_lost_vm() -> None:
+    # A VM is lost while requests wait there. If its last report did not expire,
+    # the others would leave slots to it until the platform's list drops it.
     clock = clock_lib.FakeClock()
-    told = waits.Waiting("m", 3, 1.0)
+    waiting = waits.Waiting("m", 3, 1.0)
     owner = waits.Waits(clock, lambda: ())
-    owner.take_report("lost", waits.WaitingReport((told,)))
+    owner.take_report("lost", waits.WaitingReport((waiting,)))
     asker = waits.Waits(clock, lambda: ())
     asker.take_totals("owner", owner.totals("asker"))
-    assert owner.others("owner", "owner", "m") == told
-    assert asker.others("owner", "asker", "m") == told
+    assert owner.others("owner", "owner", "m") == waiting
+    assert asker.others("owner", "asker", "m") == waiting
     assert owner.totals("lost").waiting == ()
     clock.now_s += waits.EXPIRY_S + 0.1
     assert owner.others("owner", "owner", "m").requests == 0
