--- a/packages/daemon/bulrushdeald/folding.py
+++ b/packages/daemon/bulrushdeald/folding.py
@@ -1,8 +1,8 @@
 """Moves sums into the platform's key-value service, each exactly once.
 
-Any VM may do this for any head: which sums a record holds is decided by
-compare-and-swap, so two VMs that both believe it is their turn only cost
-writes. Rendezvous hashing makes it one VM at nearly all times.
+Any VM may do this for any head: compare-and-swap decides which sums a record
+holds, so two VMs that work on the same head only cost extra writes. Rendezvous
+hashing selects the same single VM for a head nearly all the time.
 """
 
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 from bulrushdeald import services
 
 _log = logs.Log("usage")
-_ATTEMPTS = 4
-# A closing writes up to eight pages, so it is not worth it for a few rows.
+_MAX_ATTEMPTS = 4
+# Closing a head writes up to eight pages, too many for a few recent rows.
 _CLOSE_AFTER_S = 300.0
-_FORGET_AFTER_S = 7 * 86_400.0
+_FORGET_SOURCE_AFTER_S = 7 * 86_400.0
 
 IsListed = Callable[[str], bool]
 
 
-class _Held(NamedTuple):
-    """A head as it was read or written last."""
+class _CachedHead(NamedTuple):
+    """A head as this VM last read or wrote it."""
 
     head: ledger.Head
     revision: int
 
 
 class Folder:
-    """Takes batches and folds them into the heads they belong to."""
+    """Takes batches and folds them into their heads."""
 
     def __init__(
         self,
@@ -47,31 +47,31 @@
         self._is_listed = is_listed
         self._lock = threading.Lock()
         self._fold_lock = threading.Lock()
-        # By head, then by source: a source has one batch under way.
+        # By head, then by source: a source has one batch in flight.
         self._pending: dict[str, dict[str, ledger.Batch]] = {}
-        self._held: dict[str, _Held] = {}
+        self._heads: dict[str, _CachedHead] = {}
         self._refused: dict[str, int] = {}
 
     def offer(self, batch: ledger.Batch) -> ledger.Taken:
-        """Keeps a batch for the next `fold`; never waits for the platform.
+        """Keeps a batch for the next `fold`, without calling the platform.
 
-        The source sends it again until the answer's sequence covers it, so
-        it may be dropped here at any time, by a lost VM as well.
+        The source sends the batch again until the answer's sequence covers
+        it, so this VM may drop the batch at any time or be lost.
         """
         with self._lock:
-            held = self._held.get(batch.head)
-            state = held.head.sources.get(batch.source) if held else None
+            current = self._heads.get(batch.head)
+            state = current.head.sources.get(batch.source) if current else None
             taken = state.sequence if state else 0
             if taken >= batch.sequence:
                 return ledger.Taken(taken)
             if self._refused.get(batch.source) == batch.sequence:
                 return ledger.Taken(taken, is_refused=True)
-            waiting = self._pending.setdefault(batch.head, {})
-            waiting[batch.source] = batch
+            pending = self._pending.setdefault(batch.head, {})
+            pending[batch.source] = batch
             return ledger.Taken(taken)
 
     def fold(self) -> None:
-        """Writes what waits into its heads, one write for each head."""
+        """Folds pending batches into their heads, with one write per head."""
         with self._fold_lock:
             with self._lock:
                 names = tuple(self._pending)
@@ -81,58 +81,59 @@
     def close(self, name: str) -> None:
         """Moves a head's rows into pages if they are many or old.
 
-        Each step can be repeated by any VM, whatever was lost in between:
-        closed rows stand in the head until all their pages have them.
+        After a failure any VM can repeat any step: closed rows stay in the
+        head until all their pages have them.
         """
         with self._fold_lock:
-            held = self._held.get(name) or self._read(name)
-            if held is None:
+            current = self._heads.get(name) or self._read_head(name)
+            if current is None:
                 return
-            if not held.head.closing:
-                if not self._is_due(held.head):
+            if not current.head.closing:
+                if not self._is_close_due(current.head):
                     return
                 closed = ledger.begin_closing(
-                    held.head, self._forgotten(held.head)
+                    current.head, self._sources_to_forget(current.head)
                 )
-                written = self._write(name, closed, held.revision)
+                written = self._write_head(name, closed, current.revision)
                 if written.is_err():
                     return
-                held = written.unwrap()
-            if self._move(name, held.head):
-                ended = ledger.end_closing(held.head)
-                self._write(name, ended, held.revision)
+                current = written.unwrap()
+            if self._move_to_pages(name, current.head):
+                ended = ledger.end_closing(current.head)
+                self._write_head(name, ended, current.revision)
 
-    def waiting(self) -> int:
-        """Returns how many batches wait to be folded."""
+    def pending_count(self) -> int:
+        """Returns the number of batches that are not folded yet."""
         with self._lock:
             return sum(len(batches) for batches in self._pending.values())
 
     def _fold_head(self, name: str) -> None:
-        for _ in range(_ATTEMPTS):
-            cached = self._held.get(name)
-            held = cached or self._read(name)
-            if held is None:
+        for _ in range(_MAX_ATTEMPTS):
+            cached = self._heads.get(name)
+            current = cached or self._read_head(name)
+            if current is None:
                 return
             with self._lock:
                 batches = tuple(self._pending.get(name, {}).values())
             now_s = self._clock.wall_s()
-            head, verdicts = ledger.take(held.head, batches, now_s)
+            head, verdicts = ledger.take_batches(current.head, batches, now_s)
             if cached is not None and "refused" in verdicts:
-                # Another VM has written since: by an old copy of the head a
-                # live source's batch does not follow, and would be lost.
+                # The cached head may be outdated, since another VM may have
+                # written it. It would wrongly refuse a live source's batch,
+                # which would then be lost.
                 with self._lock:
-                    self._held.pop(name, None)
+                    self._heads.pop(name, None)
                 continue
-            if head is not held.head:
-                written = self._write(name, head, held.revision)
+            if head is not current.head:
+                written = self._write_head(name, head, current.revision)
                 if written.is_err():
                     if written.unwrap_err().kind == "conflict":
                         continue
                     return
-            self._settle(name, batches, verdicts)
+            self._apply_verdicts(name, batches, verdicts)
             return
 
-    def _settle(
+    def _apply_verdicts(
         self,
         name: str,
         batches: tuple[ledger.Batch, ...],
@@ -149,24 +150,24 @@
                     self._refused[batch.source] = batch.sequence
             if verdict != "later":
                 with self._lock:
-                    self._drop(name, batch)
+                    self._drop_pending(name, batch)
 
-    def _drop(self, name: str, batch: ledger.Batch) -> None:
-        waiting = self._pending.get(name, {})
+    def _drop_pending(self, name: str, batch: ledger.Batch) -> None:
+        pending = self._pending.get(name, {})
         # The source may have offered its next batch meanwhile.
-        if waiting.get(batch.source) == batch:
-            del waiting[batch.source]
-        if not waiting:
+        if pending.get(batch.source) == batch:
+            del pending[batch.source]
+        if not pending:
             self._pending.pop(name, None)
 
-    def _is_due(self, head: ledger.Head) -> bool:
+    def _is_close_due(self, head: ledger.Head) -> bool:
         if not head.rows:
             return False
         age_s = self._clock.wall_s() - head.opened_wall_s
         return len(head.rows) >= ledger.CLOSE_ROWS or age_s >= _CLOSE_AFTER_S
 
-    def _forgotten(self, head: ledger.Head) -> tuple[str, ...]:
-        before_s = self._clock.wall_s() - _FORGET_AFTER_S
+    def _sources_to_forget(self, head: ledger.Head) -> tuple[str, ...]:
+        before_s = self._clock.wall_s() - _FORGET_SOURCE_AFTER_S
         return tuple(
             source
             for source, state in head.sources.items()
@@ -174,19 +175,19 @@
             and not self._is_listed(source.rpartition("/")[0])
         )
 
-    def _move(self, name: str, head: ledger.Head) -> bool:
+    def _move_to_pages(self, name: str, head: ledger.Head) -> bool:
         by_page: dict[str, list[ledger.Row]] = {}
         for row in head.closing:
             by_page.setdefault(ledger.page_key(row), []).append(row)
         return all(
-            self._move_page(key, name, head.number, tuple(rows))
+            self._add_to_page(key, name, head.number, tuple(rows))
             for key, rows in by_page.items()
         )
 
-    def _move_page(
+    def _add_to_page(
         self, key: str, name: str, number: int, rows: tuple[ledger.Row, ...]
     ) -> bool:
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             got = self._keyvalue.get(key)
             if got.is_err():
                 return False
@@ -198,7 +199,7 @@
             except codec.CodecError as error:
                 _log.error("Cannot read %s: %s.", key, error)
                 return False
-            moved = ledger.move(page, name, number, rows)
+            moved = ledger.add_closed_rows(page, name, number, rows)
             if moved is page:
                 return True
             revision = entry.revision if entry else 0
@@ -207,7 +208,7 @@
                 return True
         return False
 
-    def _read(self, name: str) -> _Held | None:
+    def _read_head(self, name: str) -> _CachedHead | None:
         key = ledger.HEADS_PREFIX + name
         got = self._keyvalue.get(key)
         if got.is_err():
@@ -218,23 +219,23 @@
         except codec.CodecError as error:
             _log.error("Cannot read %s: %s.", key, error)
             return None
-        held = _Held(head, entry.revision if entry else 0)
+        current = _CachedHead(head, entry.revision if entry else 0)
         with self._lock:
-            self._held[name] = held
-        return held
+            self._heads[name] = current
+        return current
 
-    def _write(
+    def _write_head(
         self, name: str, head: ledger.Head, revision: int
-    ) -> result.Result[_Held, services.KeyValueError]:
-        """Writes a head; after an error it is read again first."""
+    ) -> result.Result[_CachedHead, services.KeyValueError]:
+        """Writes a head and caches it; an error removes it from the cache."""
         key = ledger.HEADS_PREFIX + name
         put = self._keyvalue.put(key, ledger.pack_head(head), revision)
         with self._lock:
             if put.is_err():
-                # Another VM wrote, or the outcome is unknown; what the head
-                # holds now tells which batches are in it.
-                self._held.pop(name, None)
+                # Another VM wrote, or the outcome is unknown. Only the stored
+                # head shows which batches are in it, so it is read again.
+                self._heads.pop(name, None)
                 return result.Err(put.unwrap_err())
-            held = _Held(head, put.unwrap())
-            self._held[name] = held
-            return result.Ok(held)
+            current = _CachedHead(head, put.unwrap())
+            self._heads[name] = current
+            return result.Ok(current)
--- a/packages/daemon/bulrushdeald/inflight.py
+++ b/packages/daemon/bulrushdeald/inflight.py
@@ -117,7 +117,7 @@
         )
 
     def take_report(self, vm: str, report: CountsReport) -> None:
-        """Stores a VM's report at the owner, in place of its last one."""
+        """Replaces a VM's stored report; called on the owner."""
         self._drop_report(vm)
         online = {count.upstream: count.online for count in report.counts}
         self._reports[vm] = _Report(self._clock.monotonic_s(), online)
@@ -164,7 +164,7 @@
         return known + self._external.get(upstream, 0)
 
     def known_online(self, upstream: str) -> int:
-        """Returns the owner's sum over its own count and all live reports."""
+        """Returns the owner's sum over its own count and all valid reports."""
         self._drop_expired_reports()
         return self.own_online(upstream) + self._reported_sums.get(upstream, 0)
 
--- a/packages/daemon/bulrushdeald/inflightreports.py
+++ b/packages/daemon/bulrushdeald/inflightreports.py
@@ -178,7 +178,7 @@
     def _watch_owners(self) -> None:
         while not self._stopping.wait(_OWNER_POLL_S):
             with self._lock:
-                self._set_pace()
+                self._scale_intervals()
                 self._counts.prune()
                 self._drop_expired_unknown_lists()
                 for owner in self._router.topology().near_owners:
@@ -191,7 +191,7 @@
             if unknown.until_s <= now_s:
                 del self._unknown_lists[owner]
 
-    def _set_pace(self) -> None:
+    def _scale_intervals(self) -> None:
         owners = len(self._router.topology().near_owners)
         factor = max(1.0, owners / OWNERS_AT_FULL_PACE)
         self._relaxed_delay_s = RELAXED_DELAY_S * factor
--- a/packages/daemon/bulrushdeald/ledger.py
+++ b/packages/daemon/bulrushdeald/ledger.py
@@ -1,11 +1,12 @@
-"""The records that usage is kept in, and what may be done to them.
-
-A source is one run of one VM. It hands its sums over in batches numbered
-from 1. A head is the durable record that takes the batches of some sources:
-it holds the last number taken from each, so that a batch handed over twice
-is counted once. From time to time a head's rows are closed under a number
-of their own and moved into pages, which hold the last number moved from each
-head. Every step is one compare-and-swap of one record.
+"""The records that hold the usage sums, and the operations on them.
+
+A source is one run of one VM. It hands over its sums in batches numbered from
+1. A head is the durable record that takes the batches of some sources. It
+holds the number of the last batch taken from each source, so that a batch
+handed over twice is counted once. From time to time a head's rows are closed:
+they get a closing number and are moved into pages. A page holds, for each
+head, the number of the last closing moved into it. Every step is one
+compare-and-swap of one record.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,11 +22,11 @@
 
 HEADS_PREFIX = "usage/heads/"
 PAGES_PREFIX = "usage/pages/"
-# Fixed for ever: a source must hand all its batches to one head, and a row
-# must always be moved to the same page.
+# These must never change: a source must hand all its batches to one head, and a
+# row must always be moved to the same page.
 SHARDS_PER_DOMAIN = 4
 PAGES_PER_BUCKET = 8
-# A packed row took 16 bytes in trials, a value may have a megabyte.
+# In trials a packed row took 16 bytes; a value may have at most one megabyte.
 MAX_BATCH_ROWS = 2_000
 CLOSE_ROWS = 15_000
 MAX_ROWS_WHILE_CLOSING = 10_000
@@ -35,22 +36,22 @@
 
 
 class Row(NamedTuple):
-    """Counts of one group of events.
+    """The sums of one group of events.
 
-    Each event counts once in a row of its customer, and once in a row of its
-    upstream if it reached one: the product of both would have more rows than
-    the platform can hold.
+    An event counts once in a row of its customer and, if it reached an
+    upstream, once in a row of that upstream. Rows for each pair of customer
+    and upstream would be more than the platform can hold.
 
     Attributes:
         kind: Whether `name` is a customer or an upstream.
         name: The customer or upstream.
-        bucket_s: When the events were, rounded down, since the epoch.
+        bucket_s: Start of the events' time bucket, in seconds since the epoch.
         work_class: Online or batch.
         model: The model or plain service.
-        outcome: `ok`, or a refusal's code.
-        requests: How many.
-        prompt_tokens: Their sum.
-        completion_tokens: Their sum.
+        outcome: `ok`, or the code of a refusal.
+        requests: Number of requests.
+        prompt_tokens: Sum of their prompt tokens.
+        completion_tokens: Sum of their completion tokens.
     """
 
     kind: RowKind
@@ -65,12 +66,12 @@
 
     @property
     def group(self) -> "Group":
-        """What the row counts."""
+        """The group of events that the row counts."""
         return Group(*self[:6])
 
 
 class Group(NamedTuple):
-    """The fields of a `Row` that tell it from others."""
+    """The fields of a `Row` that identify its group of events."""
 
     kind: RowKind
     name: str
@@ -81,15 +82,16 @@
 
 
 class Batch(NamedTuple):
-    """Sums of one source; sent again unchanged until it is durable.
+    """Sums of one source, sent again unchanged until they are durable.
 
     Attributes:
-        head: The head that takes the source's batches.
-        source: VM and incarnation.
-        sequence: 1 for the source's first batch.
-        until_wall_s: All events up to here are in this batch or earlier.
+        head: Name of the head that takes the source's batches.
+        source: VM, incarnation and number of the run.
+        sequence: Number of the batch; 1 for the source's first.
+        until_wall_s: Time, in seconds since the epoch, up to which all events
+            are in this batch or earlier ones.
         rows: The sums.
-        uncounted: Events that the source could not count, all in all.
+        uncounted: Total number of events that the source could not count.
     """
 
     head: str
@@ -104,9 +106,10 @@
     """The answer to a `Batch`.
 
     Attributes:
-        sequence: The last of the source's batches known to be durable.
-        is_refused: The head knows nothing of the source's earlier batches,
-            so this one can never be taken.
+        sequence: Number of the source's last batch known to be durable; 0 if
+            there is none.
+        is_refused: Whether the head has no record of the source's previous
+            batch, so that this one can never be taken.
     """
 
     sequence: int
@@ -114,7 +117,7 @@
 
 
 class SourceState(NamedTuple):
-    """How far the batches of one source were taken; see `Batch`."""
+    """The last batch taken from a source; for the fields see `Batch`."""
 
     sequence: int
     until_wall_s: float
@@ -125,11 +128,12 @@
     """The record that takes batches.
 
     Attributes:
-        number: Of the rows that are closed now or will be closed next.
-        opened_wall_s: When `rows` had its first.
-        rows: What was taken since the last closing.
-        closing: Rows on their way into pages; none are added.
-        sources: How far each source's batches were taken.
+        number: Number of the current closing, or else of the next one.
+        opened_wall_s: When `rows` received its first row, in seconds since the
+            epoch.
+        rows: Sums taken since the last closing began.
+        closing: Rows that are being moved into pages; none are added.
+        sources: The last batch taken from each source.
     """
 
     number: int = 1
@@ -140,10 +144,10 @@
 
 
 class Page(NamedTuple):
-    """The record of one bucket and some names.
+    """The record of one time bucket and some customers and upstreams.
 
     Attributes:
-        numbers: The last closing moved here from each head.
+        numbers: For each head, the number of the last closing moved here.
         rows: The sums.
     """
 
@@ -152,7 +156,7 @@
 
 
 class TakeResult(NamedTuple):
-    """A head after batches were offered to it, and what became of each."""
+    """A head after batches were offered to it, and the verdict on each."""
 
     head: Head
     verdicts: tuple[Verdict, ...]
@@ -173,15 +177,15 @@
 def page_key(row: Row) -> str:
     """Returns the key of the page that a row is moved to."""
     page = _hash(f"{row.kind} {row.name}") % PAGES_PER_BUCKET
-    return f"{hour_prefix(row.bucket_s)}{_moment(row.bucket_s):%M%S}/{page}"
+    return f"{hour_prefix(row.bucket_s)}{_utc(row.bucket_s):%M%S}/{page}"
 
 
 def hour_prefix(bucket_s: float) -> str:
-    """Returns the prefix of all pages of the hour of a bucket."""
-    return f"{PAGES_PREFIX}{_moment(bucket_s):%Y-%m-%dT%H}/"
+    """Returns the prefix of all pages of a bucket's hour."""
+    return f"{PAGES_PREFIX}{_utc(bucket_s):%Y-%m-%dT%H}/"
 
 
-def _moment(wall_s: float) -> datetime.datetime:
+def _utc(wall_s: float) -> datetime.datetime:
     return datetime.datetime.fromtimestamp(wall_s, datetime.UTC)
 
 
@@ -191,12 +195,12 @@
 
 
 def merge(*parts: Iterable[Row]) -> tuple[Row, ...]:
-    """Returns the sums of several rows, one row for each group."""
+    """Returns the sums of all rows, with one row for each group."""
     sums: dict[Group, Row] = {}
     for part in parts:
         for row in part:
-            held = sums.get(row.group)
-            sums[row.group] = row if held is None else _add(held, row)
+            existing = sums.get(row.group)
+            sums[row.group] = row if existing is None else _add(existing, row)
     return tuple(sums.values())
 
 
@@ -208,16 +212,18 @@
     )
 
 
-def take(head: Head, batches: Iterable[Batch], now_wall_s: float) -> TakeResult:
-    """Adds batches of different sources to a head, each only once."""
+def take_batches(
+    head: Head, batches: Iterable[Batch], now_wall_s: float
+) -> TakeResult:
+    """Adds batches of different sources to a head, each at most once."""
     states = dict(head.sources)
     parts = [head.rows]
     verdicts: list[Verdict] = []
-    rows_count = len(head.rows)
+    row_count = len(head.rows)
     limit = MAX_ROWS_WHILE_CLOSING if head.closing else CLOSE_ROWS
     for batch in batches:
-        verdict = _judge(states, batch)
-        if verdict == "taken" and rows_count >= limit:
+        verdict = _verdict_on(states, batch)
+        if verdict == "taken" and row_count >= limit:
             verdict = "later"
         verdicts.append(verdict)
         if verdict != "taken":
@@ -226,7 +232,7 @@
             batch.sequence, batch.until_wall_s, batch.uncounted
         )
         parts.append(batch.rows)
-        rows_count += len(batch.rows)
+        row_count += len(batch.rows)
     if "taken" not in verdicts:
         return TakeResult(head, tuple(verdicts))
     taken = head._replace(
@@ -237,7 +243,7 @@
     return TakeResult(taken, tuple(verdicts))
 
 
-def _judge(states: Mapping[str, SourceState], batch: Batch) -> Verdict:
+def _verdict_on(states: Mapping[str, SourceState], batch: Batch) -> Verdict:
     state = states.get(batch.source)
     last = state.sequence if state else 0
     if batch.sequence <= last:
@@ -245,38 +251,38 @@
     return "taken" if batch.sequence == last + 1 else "refused"
 
 
-def begin_closing(head: Head, forgotten: Iterable[str]) -> Head:
-    """Closes a head's rows, and forgets sources that will not come back.
+def begin_closing(head: Head, forgotten_sources: Iterable[str]) -> Head:
+    """Closes a head's rows and removes sources that will not return.
 
-    A source that was forgotten by mistake must not begin anew, or a batch
-    sent again would count twice. So one whose only batch is its first,
-    which would be taken again, is never forgotten; later ones are refused.
+    A source may be removed by mistake, and a batch that it sends again must
+    not count twice. The head refuses such a batch unless it is the source's
+    first, so a source of which only the first batch was taken stays.
     """
     states = {
         source: state
         for source, state in head.sources.items()
-        if source not in set(forgotten) or state.sequence == 1
+        if source not in set(forgotten_sources) or state.sequence == 1
     }
     return head._replace(rows=(), closing=head.rows, sources=states)
 
 
 def end_closing(head: Head) -> Head:
-    """Returns the head after its closed rows stand in all their pages."""
+    """Returns the head after all its closed rows were moved into pages."""
     return head._replace(number=head.number + 1, closing=())
 
 
-def move(
+def add_closed_rows(
     page: Page, head_name: str, number: int, rows: tuple[Row, ...]
 ) -> Page:
-    """Adds a head's closed rows to a page, unless they stand there already."""
+    """Adds a head's closed rows to a page, unless it already has them."""
     if page.numbers.get(head_name, 0) >= number:
         return page
     return Page({**page.numbers, head_name: number}, merge(page.rows, rows))
 
 
 def pack_head(head: Head) -> bytes:
-    """Returns a head as the platform holds it."""
-    return _compress(
+    """Returns a head as a value of the key-value service."""
+    return _encode(
         [
             head.number,
             head.opened_wall_s,
@@ -288,13 +294,13 @@
 
 
 def unpack_head(data: bytes) -> Head:
-    """Returns the head in a value of the platform.
+    """Returns the head in a value of the key-value service.
 
     Raises:
-        codec.CodecError: It is not one.
+        codec.CodecError: The value is not a head.
     """
     try:
-        number, opened_s, rows, closing, states = _expand(data)
+        number, opened_s, rows, closing, states = _decode(data)
         return Head(
             number,
             opened_s,
@@ -310,28 +316,28 @@
 
 
 def pack_page(page: Page) -> bytes:
-    """Returns a page as the platform holds it."""
-    return _compress([dict(page.numbers), [list(row) for row in page.rows]])
+    """Returns a page as a value of the key-value service."""
+    return _encode([dict(page.numbers), [list(row) for row in page.rows]])
 
 
 def unpack_page(data: bytes) -> Page:
-    """Returns the page in a value of the platform.
+    """Returns the page in a value of the key-value service.
 
     Raises:
-        codec.CodecError: It is not one.
+        codec.CodecError: The value is not a page.
     """
     try:
-        numbers, rows = _expand(data)
+        numbers, rows = _decode(data)
         return Page(dict(numbers), tuple(Row._make(row) for row in rows))
     except (TypeError, ValueError) as error:
         raise codec.CodecError(f"not a usage page: {error}") from error
 
 
-def _compress(value: Any) -> bytes:
+def _encode(value: Any) -> bytes:
     return zlib.compress(cbor2.dumps(value), 1)
 
 
-def _expand(data: bytes) -> Any:
+def _decode(data: bytes) -> Any:
     try:
         return cbor2.loads(zlib.decompress(data))
     except (zlib.error, cbor2.CBORDecodeError) as error:
--- a/packages/daemon/bulrushdeald/report.py
+++ b/packages/daemon/bulrushdeald/report.py
@@ -1,4 +1,4 @@
-"""Answers the operators' questions from the usage that is durable."""
+"""Serves usage reports to operators from the durable sums."""
 
 from collections.abc import Iterable
 import math
@@ -20,11 +20,12 @@
 
 
 class Snapshot(NamedTuple):
-    """All durable sums of a range of time.
+    """All durable sums of a time range.
 
     Attributes:
-        rows: Each event once in a customer's row, once in an upstream's.
-        sources: How far each source's batches were taken.
+        rows: The sums. An event counts once in a customer's row and, if it
+            reached an upstream, once in an upstream's row.
+        sources: The last batch taken from each source.
         is_settled: False if rows were being moved at each attempt, so that
             some may be missing or counted twice.
     """
@@ -34,13 +35,13 @@
     is_settled: bool
 
 
-class _Range(NamedTuple):
+class _TimeRange(NamedTuple):
     from_s: float
     to_s: float
 
 
 class Report:
-    """Reads heads and pages and sums them up."""
+    """Reads heads and pages and adds up their rows."""
 
     def __init__(
         self,
@@ -53,22 +54,22 @@
         self._clock = clock
 
     def serve(self, request: httpd.Request) -> httpd.Response:
-        """Is the handler of `GET /v1/usage`."""
+        """Handles `GET /v1/usage`."""
         fields = dict(parse.parse_qsl(request.query))
         try:
-            asked = self._range(fields)
+            time_range = self._parse_range(fields)
         except ValueError as error:
-            return _problem(400, str(error))
-        read = self.read(asked.from_s, asked.to_s)
+            return _error_response(400, str(error))
+        read = self.read(time_range.from_s, time_range.to_s)
         if read.is_err():
-            return _problem(503, read.unwrap_err().message)
+            return _error_response(503, read.unwrap_err().message)
         snapshot = read.unwrap()
-        rows = [row for row in snapshot.rows if _fits(row, fields)]
+        rows = [row for row in snapshot.rows if _matches(row, fields)]
         value = {
-            "from_s": asked.from_s,
-            "to_s": asked.to_s,
-            "customers": _group(rows, "customer"),
-            "upstreams": _group(rows, "upstream"),
+            "from_s": time_range.from_s,
+            "to_s": time_range.to_s,
+            "customers": _sum_groups(rows, "customer"),
+            "upstreams": _sum_groups(rows, "upstream"),
             "sources": self._sources(snapshot),
             "notes": self._notes(snapshot, fields),
         }
@@ -77,11 +78,11 @@
     def read(
         self, from_s: float, to_s: float
     ) -> result.Result[Snapshot, services.KeyValueError]:
-        """Returns what is durable of the buckets in a range of time.
+        """Returns the durable sums of the buckets that begin in a time range.
 
-        Rows move from heads to pages while this reads. They are read heads
-        first and heads again after the pages: if no head has moved rows
-        meanwhile, each row was seen in exactly one place.
+        Rows may move from heads to pages during the read. The heads are
+        therefore read both before and after the pages: if no head has moved
+        rows in between, each row was seen in exactly one place.
         """
         before = self._heads()
         for attempt in range(_ATTEMPTS):
@@ -94,29 +95,32 @@
             if after.is_err():
                 return result.Err(after.unwrap_err())
             heads = after.unwrap()
-            is_settled = _positions(before.unwrap()) == _positions(heads)
+            is_settled = _closing_states(before.unwrap()) == _closing_states(
+                heads
+            )
             if is_settled or attempt == _ATTEMPTS - 1:
                 break
             before = after
-        rows = ledger.merge(*_parts(heads, pages.unwrap()))
+        rows = ledger.merge(*_row_groups(heads, pages.unwrap()))
         sources: dict[str, ledger.SourceState] = {}
         for head in heads.values():
             sources.update(head.sources)
         within = tuple(row for row in rows if from_s <= row.bucket_s < to_s)
         return result.Ok(Snapshot(within, sources, is_settled))
 
-    def _range(self, fields: dict[str, str]) -> _Range:
+    def _parse_range(self, fields: dict[str, str]) -> _TimeRange:
         now_s = self._clock.wall_s()
-        to_s = _number(fields, "to_s", math.floor(now_s) + 1)
-        from_s = _number(fields, "from_s", to_s - _DAY_S)
-        # A bucket counts if it begins in the range, so begin with a whole.
+        to_s = _parse_number(fields, "to_s", math.floor(now_s) + 1)
+        from_s = _parse_number(fields, "from_s", to_s - _DAY_S)
+        # A bucket counts if it begins in the range, so the default range begins
+        # at a full hour.
         if "from_s" not in fields:
             from_s -= from_s % _HOUR_S
         if not 0 <= from_s < to_s <= now_s + _DAY_S:
             raise ValueError("from_s and to_s: not a range of time.")
         if to_s - from_s > _MAX_RANGE_S:
             raise ValueError("from_s and to_s: at most 32 days at once.")
-        return _Range(from_s, to_s)
+        return _TimeRange(from_s, to_s)
 
     def _heads(
         self,
@@ -174,27 +178,29 @@
 
     def _notes(self, snapshot: Snapshot, fields: dict[str, str]) -> list[str]:
         notes = [
-            "Events after a VM's sums_until_s are not in yet; those of a VM"
-            " that was lost never will be."
+            "Events after a VM's sums_until_s are not included yet; those of a"
+            " lost VM never will be."
         ]
         if not snapshot.is_settled:
-            notes.append("Sums were being moved: ask again for exact ones.")
+            notes.append(
+                "Sums were being moved: repeat the request for exact ones."
+            )
         if "customer" in fields:
-            notes.append("Sums of upstreams are over all customers.")
+            notes.append("Sums of upstreams cover all customers.")
         if any(state.uncounted for state in snapshot.sources.values()):
             notes.append("Some events could not be counted: see uncounted.")
-        heard = {source.rpartition("/")[0] for source in snapshot.sources}
+        reporting = {source.rpartition("/")[0] for source in snapshot.sources}
         silent = [
             row.vm
             for row in self._membership.entry_vms()
-            if row.vm not in heard
+            if row.vm not in reporting
         ]
         if silent:
             notes.append(f"No sums yet from: {', '.join(silent)}.")
         return notes
 
 
-def _number(fields: dict[str, str], name: str, default: float) -> float:
+def _parse_number(fields: dict[str, str], name: str, default: float) -> float:
     try:
         value = float(fields.get(name, default))
     except ValueError:
@@ -204,12 +210,12 @@
     return value
 
 
-def _fits(row: ledger.Row, fields: dict[str, str]) -> bool:
-    asked = fields.get("customer")
-    return asked is None or row.kind != "customer" or row.name == asked
+def _matches(row: ledger.Row, fields: dict[str, str]) -> bool:
+    customer = fields.get("customer")
+    return customer is None or row.kind != "customer" or row.name == customer
 
 
-def _positions(
+def _closing_states(
     heads: dict[str, ledger.Head],
 ) -> dict[str, tuple[int, bool]]:
     return {
@@ -217,14 +223,15 @@
     }
 
 
-def _parts(
+def _row_groups(
     heads: dict[str, ledger.Head], pages: dict[str, ledger.Page]
 ) -> Iterable[Iterable[ledger.Row]]:
     for page in pages.values():
         yield page.rows
     for name, head in heads.items():
         yield head.rows
-        # A tuple: an expression evaluated later would see the last head.
+        # A tuple is built at once; a generator expression would be evaluated
+        # after the loop, with the last head.
         yield tuple(
             row
             for row in head.closing
@@ -236,7 +243,7 @@
     return page is not None and page.numbers.get(name, 0) >= head.number
 
 
-def _group(
+def _sum_groups(
     rows: Iterable[ledger.Row], kind: ledger.RowKind
 ) -> list[dict[str, Any]]:
     chosen = (row._replace(bucket_s=0) for row in rows if row.kind == kind)
@@ -254,5 +261,5 @@
     ]
 
 
-def _problem(status: int, message: str) -> httpd.Response:
+def _error_response(status: int, message: str) -> httpd.Response:
     return httpd.json_response(status, {"error": {"message": message}})
--- a/packages/daemon/bulrushdeald/usage.py
+++ b/packages/daemon/bulrushdeald/usage.py
@@ -1,10 +1,11 @@
-"""Counts what the system did and hands the sums over, each once.
+"""Counts requests and tokens and makes the sums durable, each exactly once.
 
-A VM sums its events in memory and every `usage_flush_s` hands a numbered
-batch to one VM of its failure domain, which folds it into the platform's
-key-value service. It sends a batch again until it is known to be durable.
-So a lost VM loses what it had not handed over, at most the last few seconds,
-and the report says up to when each VM's sums are in.
+A VM sums its events in memory. Every `usage_flush_s` seconds it sends them as
+a numbered batch to one VM of its failure domain, which folds the batch into a
+record of the platform's key-value service. A batch is sent again until it is
+known to be durable. A lost VM thus loses only the sums that it had not handed
+over, at most those of the last few seconds, and the usage report states up to
+which time each VM's sums are included.
 """
 
 import collections
@@ -24,14 +25,16 @@
 
 _log = logs.Log("usage")
 _CALL_TIMEOUT_S = 2.0
-# Without events a batch still goes out this often, to show the VM is there.
+# An idle VM still sends a batch this often, to show that it is alive.
 _IDLE_BATCH_S = 60.0
-# What a long outage may cost in memory: about 300 bytes for each row.
+# Bounds the memory that a long outage takes, at about 300 bytes per row. Beyond
+# it events are counted in coarser groups, up to twice as many rows.
 _MAX_ROWS = 50_000
 _MAX_NAME_CHARACTERS = 64
-# Without the platform a planned stop waits no longer for a few sums.
+# Limits how long a planned stop tries to store the last sums while the platform
+# is unavailable.
 _LAST_FLUSH_S = 10.0
-_OTHER = "(other)"
+_OTHER_MODELS = "(other)"
 
 
 class UsageService:
@@ -51,19 +54,20 @@
         self._lock = threading.Lock()
         self._sums: dict[ledger.Group, list[int]] = {}
         self._uncounted = 0
-        # A source's batches go one after the other, from one thread.
+        # A source sends its batches one after the other, from one thread at a
+        # time.
         self._flush_lock = threading.Lock()
         self._outstanding: ledger.Batch | None = None
         self._sequence = 0
         self._run_number = 1
-        self._sent_wall_s = 0.0
+        self._sums_until_wall_s = 0.0
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="usage", daemon=True
         )
 
     def start(self) -> None:
-        """Finds the other services and begins to hand sums over."""
+        """Connects to the other services and starts to flush periodically."""
         self.connect()
         operators = self._kernel.find(
             services.OPERATORS, services.OperatorRoutes
@@ -72,7 +76,7 @@
         self._thread.start()
 
     def connect(self) -> None:
-        """Finds the other services without beginning to work."""
+        """Connects to the other services without starting the flush thread."""
         find = self._kernel.find
         self._membership = find(services.MEMBERSHIP, services.Membership)
         self._peers = find(services.PEERS, services.Peers)
@@ -88,14 +92,15 @@
         )
 
     def stop(self, grace_s: float) -> None:
-        """Folds what is left without a peer, for at most `grace_s`."""
+        """Folds the remaining sums on this VM, in `grace_s` seconds at most."""
         self._stopping.set()
         grace_s = min(grace_s, _LAST_FLUSH_S)
         deadline_s = self._clock.monotonic_s() + grace_s
         if self._thread.is_alive():
             self._thread.join(grace_s)
-        # At least once, even if what stopped before took the whole grace:
-        # else a planned stop would lose what a few milliseconds can keep.
+        # Flushes at least once, even if the services that stopped before used
+        # up the grace period: otherwise a planned stop would lose sums that a
+        # few milliseconds can save.
         while not self.flush(is_last=True):
             if self._outstanding is None:
                 continue
@@ -107,7 +112,7 @@
         _log.warning("Stopped with %d rows of usage unfolded.", len(self._sums))
 
     def dump(self) -> Any:
-        """Returns what is not durable yet."""
+        """Returns the state of the sums that are not durable yet."""
         with self._lock:
             outstanding = self._outstanding
             return {
@@ -115,7 +120,7 @@
                 "rows_in_memory": len(self._sums),
                 "batches_made": self._sequence,
                 "rows_outstanding": len(outstanding.rows) if outstanding else 0,
-                "batches_to_fold": self._folder.waiting(),
+                "batches_to_fold": self._folder.pending_count(),
                 "uncounted": self._uncounted,
             }
 
@@ -139,17 +144,26 @@
                 )
 
     def flush(self, is_last: bool = False) -> bool:
-        """Hands over a batch, folds and closes; true if nothing is left."""
+        """Hands over a batch, folds pending batches and closes due heads.
+
+        Args:
+            is_last: Whether the VM is stopping. The batch is then folded on
+                this VM, and no heads are closed.
+
+        Returns:
+            Whether no sums are left to hand over.
+        """
         with self._flush_lock:
             self._make_batch()
-            chosen = self._chosen(self._head, is_last)
-            self._hand_over(chosen)
+            folding_vm = self._folding_vm(self._head, is_last)
+            self._hand_over(folding_vm)
             self._folder.fold()
-            if chosen == self._membership.own().vm:
-                # It was folded here just now, so it need not wait.
-                self._hand_over(chosen)
+            if folding_vm == self._membership.own().vm:
+                # The batch has just been folded here, so this call learns that
+                # it is durable without waiting for the next flush.
+                self._hand_over(folding_vm)
             if not is_last:
-                self._close()
+                self._close_heads()
             with self._lock:
                 return not self._sums and self._outstanding is None
 
@@ -163,8 +177,10 @@
     def _count(self, group: ledger.Group, event: services.UsageEvent) -> None:
         sums = self._sums.get(group)
         if sums is None and len(self._sums) >= _MAX_ROWS:
-            # A long outage, or callers that make up names of models.
-            group = group._replace(model=_OTHER, bucket_s=self._coarse(group))
+            # Either an outage is long, or callers make up model names.
+            group = group._replace(
+                model=_OTHER_MODELS, bucket_s=self._coarse_bucket_s(group)
+            )
             sums = self._sums.get(group)
         if sums is None:
             if len(self._sums) >= 2 * _MAX_ROWS:
@@ -175,7 +191,7 @@
         sums[1] += event.prompt_tokens
         sums[2] += event.completion_tokens
 
-    def _coarse(self, group: ledger.Group) -> int:
+    def _coarse_bucket_s(self, group: ledger.Group) -> int:
         coarse_s = max(3600, self._bucket_s)
         return group.bucket_s - group.bucket_s % coarse_s
 
@@ -189,17 +205,17 @@
         with self._lock:
             if self._outstanding is not None:
                 return
-            is_idle = now_s - self._sent_wall_s < _IDLE_BATCH_S
+            is_idle = now_s - self._sums_until_wall_s < _IDLE_BATCH_S
             if not self._sums and is_idle:
                 return
             groups = list(self._sums)[: ledger.MAX_BATCH_ROWS]
             rows = tuple(
                 ledger.Row(*group, *self._sums.pop(group)) for group in groups
             )
-            # If rows are left behind, the sums are not complete up to now.
-            until_s = self._sent_wall_s if self._sums else now_s
+            # If rows remain, the batches are not complete up to now.
+            until_s = self._sums_until_wall_s if self._sums else now_s
             self._sequence += 1
-            self._sent_wall_s = until_s
+            self._sums_until_wall_s = until_s
             self._outstanding = ledger.Batch(
                 self._head,
                 self._source(),
@@ -211,7 +227,10 @@
         self._send_metrics(rows)
 
     def _send_metrics(self, rows: tuple[ledger.Row, ...]) -> None:
-        """Sends the sums of a batch: a few packets, however many requests."""
+        """Sends a batch's sums as metrics.
+
+        That takes a few packets, however many requests the batch covers.
+        """
         counts: collections.Counter[str] = collections.Counter()
         for row in rows:
             if row.kind != "customer":
@@ -223,7 +242,7 @@
         for name, count in counts.items():
             self._metrics.increment(name, count)
 
-    def _chosen(self, head: str, is_last: bool) -> str:
+    def _folding_vm(self, head: str, is_last: bool) -> str:
         own = self._membership.own()
         if is_last:
             return own.vm
@@ -235,26 +254,27 @@
         ]
         return rendezvous.rank(head, names or [own.vm])[0]
 
-    def _hand_over(self, chosen: str) -> None:
+    def _hand_over(self, folding_vm: str) -> None:
         batch = self._outstanding
         if batch is None:
             return
-        answer = self._peers.call(chosen, batch, _CALL_TIMEOUT_S)
-        taken = answer.unwrap_or(None)
-        if not isinstance(taken, ledger.Taken):
-            # Cut off from it, or it is gone: any VM may fold, so this does.
-            taken = self._folder.offer(batch)
+        reply = self._peers.call(folding_vm, batch, _CALL_TIMEOUT_S)
+        answer = reply.unwrap_or(None)
+        if not isinstance(answer, ledger.Taken):
+            # The other VM is lost or out of reach. Any VM may fold a batch, so
+            # this one does.
+            answer = self._folder.offer(batch)
         with self._lock:
-            if taken.sequence >= batch.sequence:
+            if answer.sequence >= batch.sequence:
                 self._outstanding = None
-            elif taken.is_refused:
-                self._begin_anew(batch)
+            elif answer.is_refused:
+                self._restart_source(batch)
 
-    def _begin_anew(self, batch: ledger.Batch) -> None:
-        """Goes on as a new source after the head forgot this one.
+    def _restart_source(self, batch: ledger.Batch) -> None:
+        """Starts a new source after the head has forgotten this one.
 
-        Whether the batch was folded before is not known any more; leaving
-        it out can lose it, but sending it anew could count it twice.
+        It is unknown whether the batch was folded before. Leaving it out may
+        lose it, but sending it as a new batch could count it twice.
         """
         _log.error("Left out %d rows of usage.", len(batch.rows))
         self._uncounted += sum(
@@ -268,8 +288,8 @@
         del vm
         return self._folder.offer(batch)
 
-    def _close(self) -> None:
+    def _close_heads(self) -> None:
         own = self._membership.own()
         for head in ledger.heads_of(own.failure_domain):
-            if self._chosen(head, is_last=False) == own.vm:
+            if self._folding_vm(head, is_last=False) == own.vm:
                 self._folder.close(head)
--- a/packages/daemon/bulrushdeald/waits.py
+++ b/packages/daemon/bulrushdeald/waits.py
@@ -72,7 +72,7 @@
         self._totals: dict[str, _Received] = {}
 
     def take_report(self, vm: str, report: WaitingReport) -> None:
-        """Stores a VM's report at the owner."""
+        """Stores a VM's report; called on the owner."""
         if report.waiting:
             self._reports[vm] = self._received(report.waiting)
         else:
--- a/tests/daemon/test_rendezvous.py
+++ b/tests/daemon/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Tests of the choice that each VM makes alike."""
+"""Tests of the choice that all VMs make alike."""
 
 import random
 
@@ -14,8 +14,8 @@
 def test_vms_that_see_the_same_names_choose_the_same(
     key: str, names: list[str], order: random.Random
 ) -> None:
-    # All VMs sweep at once, or none does: they list the others in
-    # different orders.
+    # VMs list the others in different orders. If that changed the choice, all
+    # of them would sweep at once, or none would.
     ranked = rendezvous.rank(key, names)
     shuffled = list(names)
     order.shuffle(shuffled)
@@ -25,12 +25,12 @@
 
 
 @hypothesis.given(st.text("xyz"), NAMES, st.data())
-def test_one_name_less_moves_only_what_it_had(
+def test_a_removed_name_moves_only_its_own_keys(
     key: str, names: list[str], data: st.DataObject
 ) -> None:
-    # A VM is replaced, and all work moves between all the others as well.
+    # If other keys moved too, replacing one VM would move the work of all.
     hypothesis.assume(names)
-    gone = data.draw(st.sampled_from(names))
-    left = [name for name in names if name != gone]
-    before = [name for name in rendezvous.rank(key, names) if name != gone]
-    assert list(rendezvous.rank(key, left)) == before
+    removed = data.draw(st.sampled_from(names))
+    remaining = [name for name in names if name != removed]
+    before = [name for name in rendezvous.rank(key, names) if name != removed]
+    assert list(rendezvous.rank(key, remaining)) == before
--- a/tests/daemon/test_usage.py
+++ b/tests/daemon/test_usage.py
@@ -1,4 +1,7 @@
-"""Usage against a counter: nothing twice, and only lost VMs lose any."""
+"""Tests of the usage sums against a plain counter.
+
+No event may count twice, and only a lost VM may lose any.
+"""
 
 import collections
 import json
@@ -32,7 +35,7 @@
 
 
 class World:
-    """Three VMs of one failure domain, and what was recorded on each."""
+    """Three VMs of one failure domain, and the events recorded on each."""
 
     def __init__(self, settings: defaults.Settings = SETTINGS) -> None:
         self.settings = settings
@@ -42,7 +45,7 @@
         self.vms: dict[str, Vm] = {}
         self.started = 0
         self.recorded: collections.Counter[str] = collections.Counter()
-        # By incarnation: what may or may not have become durable.
+        # By incarnation: the events that may or may not be durable.
         self.doubtful: collections.Counter[str] = collections.Counter()
         for name in VMS:
             self.start(name)
@@ -68,7 +71,7 @@
         )
 
     def lose(self, name: str) -> None:
-        """Replaces a VM; what it had in memory only is gone."""
+        """Replaces a VM; the sums that it had only in memory are lost."""
         vm = self.vms[name]
         left = vm.usage._sums.items()
         run = vm.peers.name
@@ -83,7 +86,7 @@
         self.start(name)
 
     def durable(self) -> collections.Counter[str]:
-        """Returns what a report shows, by incarnation."""
+        """Returns the number of requests in a report, by incarnation."""
         peers = self.vms["a"].peers
         reader = report.Report(self.keyvalue, peers, self.clock)
         snapshot = reader.read(START_S - 3600, self.clock.wall_s() + 1).unwrap()
@@ -144,7 +147,7 @@
         self.world.network.faults = calls
         self.world.vms[vm].usage.flush()
         if is_due:
-            # Whichever VM closes a head, the fault may hit its steps.
+            # Any VM may close a head, so that the fault can hit its steps.
             for other in self.world.vms.values():
                 other.usage.flush()
         self.world.keyvalue.faults = []
@@ -244,9 +247,9 @@
 
 
 def test_forgotten_source_that_comes_back_is_not_counted_twice() -> None:
-    # A VM is suspended for over a week and no longer listed, its entry is
-    # forgotten, and then it hands its last batch over again. Counted anew
-    # it would be charged twice. Cause: the head no longer knows its number.
+    # A VM is suspended for over a week and is no longer listed, so the head
+    # forgets the number of its last batch. The VM then sends that batch again,
+    # which must not be counted a second time.
     world = World()
     old = world.vms["c"]
     for _ in range(2):
@@ -275,10 +278,10 @@
 
 
 def test_batch_is_not_refused_by_an_old_copy_of_the_head() -> None:
-    # A customer's requests of a minute are missing from the report, though
-    # no VM was lost. A VM folds once, another takes over for some batches,
-    # then the first folds again. Cause: it judged the next batch by the head
-    # as it had written it last, where that batch does not follow.
+    # A VM folds a batch, another VM folds the next ones, and then the first
+    # VM folds again. It compared the new batch with its outdated copy of the
+    # head and refused it, so that a minute of requests was missing from the
+    # report although no VM was lost.
     world = World()
     others = set(VMS)
     for folder in ("b", "c", "c", "b"):
@@ -289,10 +292,10 @@
 
 
 def test_rows_that_were_moved_count_once_while_others_are_closing() -> None:
-    # A report shows a customer's requests twice for some seconds. One head's
-    # rows stand in their pages already and its closing has not ended, as the
-    # answer was lost; another head has none. Cause: each head's closed rows
-    # were compared with the number of the head that was read last.
+    # One head's rows are already in their pages, but its closing has not ended
+    # since an answer was lost; another head has no closing. The report compared
+    # the closed rows of each head with the number of the head read last, and
+    # showed requests twice for some seconds.
     for lost_at in range(12):
         world = World()
         for name in VMS:
@@ -306,9 +309,8 @@
 
 
 def test_planned_stop_loses_nothing_even_without_grace() -> None:
-    # Long streams take the whole grace of a planned stop, and a customer's
-    # last requests are missing from the report. Cause: usage stops after
-    # the callers' server and found no time left.
+    # Usage stops after the callers' server. If long streams use up the whole
+    # grace period of a planned stop, the last requests must still be counted.
     world = World()
     for index in range(2 * ledger.MAX_BATCH_ROWS):
         world.record("a")
@@ -324,9 +326,9 @@
     assert sum(row.requests for row in counted) == 4 * ledger.MAX_BATCH_ROWS
 
 
-def test_metrics_are_sent_where_the_setting_says() -> None:
-    # An operator sets the address of a statsd server and sees nothing there.
-    # Cause: the setting was checked and read by nobody.
+def test_metrics_are_sent_to_the_configured_address() -> None:
+    # The setting for the address of a statsd server was validated but never
+    # used, so that the server received nothing.
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.settimeout(30)
@@ -356,7 +358,7 @@
     assert total == 101_000
 
 
-def test_report_is_grouped_and_says_how_fresh_it_is() -> None:
+def test_report_is_grouped_and_states_its_age() -> None:
     world = World()
     world.record("a")
     world.record("b")
--- a/tests/support/usagefakes.py
+++ b/tests/support/usagefakes.py
@@ -1,4 +1,4 @@
-"""Small fakes of what usage speaks to, with faults at each call."""
+"""Small fakes of the services that usage calls, with faults at each call."""
 
 from collections.abc import Callable
 from typing import Any, Literal
@@ -14,12 +14,13 @@
 
 
 class FaultyKeyValue(keyvalues.MemoryKeyValue):
-    """A key-value service in memory that loses answers as told.
+    """A key-value service in memory with injected faults.
 
     Attributes:
-        faults: What happens to the next puts, first one first. `applied`
-            and `dropped` lose the answer with and without the effect;
-            `late` has its effect only when `arrive` is called.
+        faults: The faults of the next puts in order, `""` for none. `applied`
+            and `dropped` lose the answer with and without the effect; `late`
+            takes effect only when `arrive` is called; `unavailable` fails.
+        late: The writes that have not taken effect yet.
         on_call: Called before each call, to interleave other writers.
     """
 
@@ -58,7 +59,7 @@
         return done
 
     def arrive(self) -> None:
-        """Lets the writes that are late take effect, if they still may."""
+        """Applies the late writes whose expected revision still matches."""
         late, self.late = self.late, []
         for key, value, expected_revision in late:
             super().put(key, value, expected_revision)
@@ -70,12 +71,13 @@
 
 
 class Network(fakes.Network):
-    """Hands messages between the VMs of one failure domain.
+    """Delivers messages between the VMs of one failure domain.
 
     Attributes:
-        faults: What happens to the next calls: `""`, `unreachable`, or
-            `timeout` after the message has had its effect.
-        sent: All messages ever sent, to be delivered again.
+        leaving: The VMs that are being stopped.
+        faults: The faults of the next calls in order: `""` for none,
+            `unreachable`, or `timeout` after the message has taken effect.
+        sent: All messages sent, for repeated delivery.
     """
 
     def __init__(self) -> None:
