--- a/packages/daemon/bulrushdeald/coordinator.py
+++ b/packages/daemon/bulrushdeald/coordinator.py
@@ -110,7 +110,7 @@
             try:
                 self.tick()
             except Exception:  # noqa: BLE001 - the loop must keep running.
-                _log.exception("The coordinator's round failed.")
+                _log.exception("A round failed.")
             self._wake.wait(_TICK_INTERVAL_S)
             self._wake.clear()
 
