--- a/packages/daemon/bulrushdeald/connections.py
+++ b/packages/daemon/bulrushdeald/connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, kept for reuse while they are surely clean."""
+"""HTTP connections to upstreams, and the pool that keeps idle ones."""
 
 import collections
 import http
@@ -12,18 +12,18 @@
 
 from bulrushdeal import sockets
 
-# Below the five seconds after which common servers close an idle connection:
-# one closed just as it is used leaves it unknown whether a request ran.
+# Less than the five seconds after which common servers close an idle
+# connection. If a server closes one while a request is being sent on it,
+# whether the request ran remains unknown.
 _MAX_IDLE_S = 4.0
 _MAX_IDLE_CONNECTIONS = 64
 
 
 class _HeadReader:
-    """Reads a head's lines and knows a cut line from the end of the head.
+    """Raises an error if the connection ends inside a response's head.
 
-    The library takes an end of the connection inside the head for the head's
-    end: an upstream that breaks off there would seem to have answered with
-    an empty body.
+    `http.client` treats the end of the connection as the end of the head, so
+    a response that is cut off there would look complete, with an empty body.
     """
 
     def __init__(self, reader: Any) -> None:
@@ -40,15 +40,19 @@
 
 
 class Response(http.client.HTTPResponse):
-    """An answer that knows whether the upstream sent more than it said."""
+    """A response that detects bytes sent beyond its end.
+
+    Attributes:
+        has_extra_bytes: Whether more bytes followed the end of the response.
+    """
 
     def __init__(self, sock: socket.socket, *args: Any, **kwargs: Any) -> None:
         super().__init__(sock, *args, **kwargs)
         self._socket = sock
-        self.has_leftover = False
+        self.has_extra_bytes = False
 
     def begin(self) -> None:
-        """Reads the head."""
+        """Reads the status line and the headers."""
         reader = self.fp
         self.fp = _HeadReader(reader)  # type: ignore[assignment]
         try:
@@ -58,8 +62,9 @@
                 self.fp = reader
 
     def _read_status(self) -> tuple[str, int, str]:
-        # The library skips only 100. Any other interim head would be taken
-        # for the answer, and the true answer for the next request's.
+        # `http.client` skips only status 100. It would treat any other interim
+        # response as the final one, and the final one as the response to the
+        # next request.
         while True:
             status = super()._read_status()  # type: ignore[misc]
             if not http.HTTPStatus.PROCESSING <= status[1] < http.HTTPStatus.OK:
@@ -67,12 +72,12 @@
             http.client.parse_headers(self.fp)
 
     def _close_conn(self) -> None:
-        # Bytes beyond the answer's end would be read as the next answer's
-        # beginning, or vanish with this buffer and cut the next answer.
-        self.has_leftover = self.has_leftover or self._has_more()
+        # Bytes after the end of this response would be read as the beginning
+        # of the next one, or be lost with this buffer and truncate it.
+        self.has_extra_bytes = self.has_extra_bytes or self._has_unread_bytes()
         super()._close_conn()  # type: ignore[misc]
 
-    def _has_more(self) -> bool:
+    def _has_unread_bytes(self) -> bool:
         try:
             timeout_s = self._socket.gettimeout()
             self._socket.settimeout(0)
@@ -88,8 +93,8 @@
     """A connection to one upstream, for one request at a time.
 
     Attributes:
-        raw: The answer under way, below the library's decoding and its cost
-            for each read.
+        raw: The current response, below urllib3's decoding layer, which
+            adds a cost to each read.
     """
 
     raw: Response
@@ -100,48 +105,49 @@
     def response_class(  # type: ignore[override]
         self, sock: socket.socket, *args: Any, **kwargs: Any
     ) -> Response:
-        """Makes the answer's reader; the library calls it like a class."""
+        """Creates the response; `http.client` calls this like a class."""
         self.raw = Response(sock, *args, **kwargs)
         return self.raw
 
 
-class _Idle(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: Connection
     since_s: float
 
 
 class Pool:
-    """Keeps idle connections by address, the one used last on top."""
+    """Idle connections by address; the last one used is reused first."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._idle: dict[str, collections.deque[_Idle]] = {}
+        self._idle: dict[str, collections.deque[_IdleConnection]] = {}
         self._is_closed = False
 
     def take(self, address: str) -> Connection | None:
-        """Returns an idle connection that the upstream has not closed."""
+        """Returns a usable idle connection, or `None` if there is none."""
         while (connection := self._pop(address)) is not None:
-            # It is readable if the upstream closed it or sent bytes that
-            # nobody asked for; neither may meet the next request.
+            # `is_connected` is false if the socket is readable, that is if
+            # the upstream closed it or sent unrequested bytes. Neither kind
+            # of connection may carry another request.
             if connection.is_connected:
                 return connection
             connection.close()
         return None
 
     def put(self, address: str, connection: Connection) -> None:
-        """Keeps a connection whose last answer was read to the end."""
+        """Keeps a connection whose last response was read to its end."""
         now_s = time.monotonic()
-        surplus: Connection | None = None
+        evicted: Connection | None = None
         with self._lock:
             idle = self._idle.setdefault(address, collections.deque())
-            idle.append(_Idle(connection, now_s))
+            idle.append(_IdleConnection(connection, now_s))
             if self._is_closed or len(idle) > _MAX_IDLE_CONNECTIONS:
-                surplus = idle.popleft().connection
-        if surplus is not None:
-            surplus.close()
+                evicted = idle.popleft().connection
+        if evicted is not None:
+            evicted.close()
 
     def close(self) -> None:
-        """Closes the idle connections and keeps none from now on."""
+        """Closes all idle connections; those put back later are closed too."""
         with self._lock:
             self._is_closed = True
             idle = [item for items in self._idle.values() for item in items]
@@ -150,23 +156,23 @@
             item.connection.close()
 
     def counts(self) -> dict[str, int]:
-        """Returns how many connections are idle at each address."""
+        """Returns the number of idle connections by address."""
         with self._lock:
             return {name: len(items) for name, items in self._idle.items()}
 
     def _pop(self, address: str) -> Connection | None:
-        old: list[_Idle] = []
+        expired: list[_IdleConnection] = []
         with self._lock:
             idle = self._idle.get(address)
             if not idle:
                 return None
             item = idle.pop()
             if time.monotonic() - item.since_s > _MAX_IDLE_S:
-                # All below it are older still.
-                old = [item, *idle]
+                # The connections below it have been idle even longer.
+                expired = [item, *idle]
                 del self._idle[address]
-        if not old:
+        if not expired:
             return item.connection
-        for stale in old:
-            stale.connection.close()
+        for expired_item in expired:
+            expired_item.connection.close()
         return None
--- a/packages/daemon/bulrushdeald/upstreams.py
+++ b/packages/daemon/bulrushdeald/upstreams.py
@@ -1,4 +1,4 @@
-"""HTTP towards upstreams: each request is sent once and never again."""
+"""HTTP client for upstreams, which sends each request at most once."""
 
 from collections.abc import Callable, Iterator, Mapping
 import functools
@@ -21,54 +21,54 @@
 from bulrushdeald import services
 
 _READ_BYTES = 64 * 1024
-_BODILESS = (http.HTTPStatus.NO_CONTENT, http.HTTPStatus.NOT_MODIFIED)
-_FAILURES = (
+_BODILESS_STATUSES = (http.HTTPStatus.NO_CONTENT, http.HTTPStatus.NOT_MODIFIED)
+_READ_ERRORS = (
     OSError,
     ValueError,
     http.client.HTTPException,
     urllib3.exceptions.HTTPError,
 )
-_TIMEOUTS = (TimeoutError, urllib3.exceptions.TimeoutError)
-# The library adds these where a caller sent none.
-_LIBRARY_HEADERS = ("accept-encoding", "user-agent")
+_TIMEOUT_ERRORS = (TimeoutError, urllib3.exceptions.TimeoutError)
+# urllib3 adds defaults for these unless it is told to skip them.
+_DEFAULT_HEADERS = ("accept-encoding", "user-agent")
 
 
 class _Exchange:
-    """One request on one connection, which ends once.
+    """Allows other threads to cancel one request on a connection.
 
-    A cancellation may come from another thread at any moment, also after
-    the connection went back and carries somebody else's request: then it
-    must do nothing.
+    Another thread may cancel at any time, even after the connection was
+    returned to the pool and carries another request. `finish` turns such a
+    late cancellation into a no-op.
     """
 
     def __init__(self, sock: socket.socket) -> None:
         self._lock = threading.Lock()
         self._socket = sock
-        self._is_over = False
+        self._is_finished = False
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Ends a blocked read or write at once; idempotent."""
+        """Aborts a blocked read or write at once; idempotent."""
         with self._lock:
-            if self._is_over:
+            if self._is_finished:
                 return
             self.is_cancelled = True
             try:
                 self._socket.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # The upstream closed it first.
+                # The upstream has already closed the connection.
                 return
 
     def allow_silence(self, timeout_s: float) -> None:
-        """Sets how long one read may take from now on."""
+        """Sets the timeout of each further read, in seconds."""
         with self._lock:
-            if not self._is_over:
+            if not self._is_finished:
                 self._socket.settimeout(timeout_s)
 
     def finish(self) -> None:
-        """Makes later cancellations harmless."""
+        """Ends the exchange; later cancellations have no effect."""
         with self._lock:
-            self._is_over = True
+            self._is_finished = True
 
 
 class Answer:
@@ -80,19 +80,20 @@
         exchange: _Exchange,
         response: urllib3.BaseHTTPResponse,
         method: str,
-        give_back: Callable[[], None] | None,
+        return_connection: Callable[[], None] | None,
     ) -> None:
         self._connection = connection
         self._exchange = exchange
         self._status = response.status
-        # It closes what it reads from when nobody refers to it.
+        # The response closes its stream when it is garbage-collected, so a
+        # reference to it is kept.
         self._response = response
         self._raw = connection.raw
-        self._give_back = give_back
-        self._is_whole = False
+        self._return_connection = return_connection
+        self._is_complete = False
         self._is_closed = False
         self._headers = response.headers
-        self._left_bytes = self._length(method)
+        self._remaining_bytes = self._expected_bytes(method)
 
     @property
     def status(self) -> int:
@@ -108,23 +109,24 @@
 
     def chunks(self) -> Iterator[result.Result[bytes, services.UpstreamError]]:
         """See `services.UpstreamAnswer`."""
-        while self._left_bytes != 0:
+        while self._remaining_bytes != 0:
             try:
                 data = self._raw.read1(_READ_BYTES)
-            except _FAILURES as error:
-                yield result.Err(_error(self._exchange, error, "ran"))
+            except _READ_ERRORS as error:
+                yield result.Err(_upstream_error(self._exchange, error, "ran"))
                 return
             if not data:
                 break
-            if self._left_bytes is not None:
-                self._left_bytes -= len(data)
+            if self._remaining_bytes is not None:
+                self._remaining_bytes -= len(data)
             yield result.Ok(data)
-        # Our own end of a body without a length looks like its end.
-        if self._exchange.is_cancelled or self._left_bytes:
-            short = EOFError("The body is short.")
-            yield result.Err(_error(self._exchange, short, "ran"))
+        # A body without a length ends with its connection, so a cancelled
+        # one would otherwise look complete.
+        if self._exchange.is_cancelled or self._remaining_bytes:
+            truncated = EOFError("The body ended early.")
+            yield result.Err(_upstream_error(self._exchange, truncated, "ran"))
             return
-        self._is_whole = True
+        self._is_complete = True
 
     def allow_silence(self, timeout_s: float) -> None:
         """See `services.UpstreamAnswer`."""
@@ -141,23 +143,24 @@
         self._is_closed = True
         self._raw.close()
         self._exchange.finish()
-        if self._give_back is not None and self._is_clean():
-            self._give_back()
+        if self._return_connection is not None and self._is_reusable():
+            self._return_connection()
         else:
             self._connection.close()
 
-    def _is_clean(self) -> bool:
-        # Bytes of this answer that are still to come would be taken for the
-        # next one's, so a connection is kept only after a whole answer.
+    def _is_reusable(self) -> bool:
+        # Unread bytes of this response would be taken for the beginning of
+        # the next one, so a connection is reused only after a complete
+        # response.
         return (
-            self._is_whole
+            self._is_complete
             and not self._exchange.is_cancelled
             and not self._raw.will_close
-            and not self._raw.has_leftover
+            and not self._raw.has_extra_bytes
         )
 
-    def _length(self, method: str) -> int | None:
-        if method == "HEAD" or self._status in _BODILESS:
+    def _expected_bytes(self, method: str) -> int | None:
+        if method == "HEAD" or self._status in _BODILESS_STATUSES:
             return 0
         text = self._headers.get("Content-Length", "")
         if self._raw.chunked or not text.isdecimal():
@@ -166,19 +169,20 @@
 
 
 class UpstreamSettings(Protocol):
-    """What is set for calls to upstreams."""
+    """The settings of the HTTP client for upstreams."""
 
     @property
     def upstream_connect_timeout_s(self) -> float:
-        """How long a new connection may take."""
+        """The longest time to open a connection, in seconds."""
 
 
 class HttpUpstreams:
     """See `services.Upstreams`.
 
-    What an error says of `ran`: `not_run` only while no byte can have left,
-    that is until the connection stands; `unknown` from the first byte on;
-    `ran` once the head of an answer has come.
+    The `ran` of an error is `not_run` only if no connection could be opened,
+    so that no byte of the request was sent. It is `unknown` if the request
+    fails on an open connection, and `ran` once the head of a response has
+    arrived.
     """
 
     def __init__(
@@ -222,33 +226,38 @@
         exchange = _Exchange(connection.sock)
         if on_open is not None:
             on_open(exchange.cancel)
-        sendable = _sendable(headers, is_fresh)
+        headers_to_send = _headers_to_send(headers, is_fresh)
         try:
-            is_sent = _request(connection, method, path, sendable, body)
+            is_fully_sent = _send_request(
+                connection, method, path, headers_to_send, body
+            )
             response = connection.getresponse()
-        except Exception as error:  # noqa: BLE001 - the body is a caller's.
+        except Exception as error:  # noqa: BLE001
+            # An iterator as the body may raise any exception.
             exchange.finish()
             connection.close()
             return result.Err(_send_error(exchange, error))
         if response.status < http.HTTPStatus.OK:
-            # A change of protocol that nobody asked for.
+            # 101, a protocol switch that was not requested.
             exchange.finish()
             connection.close()
-            odd = ValueError(f"Status {response.status}.")
-            return result.Err(_error(exchange, odd, "ran"))
-        give_back: Callable[[], None] | None = None
-        if is_sent and not is_fresh:
-            give_back = functools.partial(self._pool.put, address, connection)
+            unexpected = ValueError(f"Unexpected status {response.status}.")
+            return result.Err(_upstream_error(exchange, unexpected, "ran"))
+        return_connection: Callable[[], None] | None = None
+        if is_fully_sent and not is_fresh:
+            return_connection = functools.partial(
+                self._pool.put, address, connection
+            )
         return result.Ok(
-            Answer(connection, exchange, response, method, give_back)
+            Answer(connection, exchange, response, method, return_connection)
         )
 
     def _connect(
         self, address: str, is_fresh: bool
     ) -> result.Result[connections.Connection, services.UpstreamError]:
-        kept = None if is_fresh else self._pool.take(address)
-        if kept is not None:
-            return result.Ok(kept)
+        idle = None if is_fresh else self._pool.take(address)
+        if idle is not None:
+            return result.Ok(idle)
         host, _, port = address.rpartition(":")
         try:
             connection = connections.Connection(
@@ -263,30 +272,32 @@
         return result.Ok(connection)
 
 
-def _sendable(headers: Mapping[str, str], is_fresh: bool) -> dict[str, str]:
-    sendable = headers_lib.without_connection(headers)
-    names = {name.lower() for name in sendable}
-    for name in _LIBRARY_HEADERS:
+def _headers_to_send(
+    headers: Mapping[str, str], is_fresh: bool
+) -> dict[str, str]:
+    headers_to_send = headers_lib.without_connection(headers)
+    names = {name.lower() for name in headers_to_send}
+    for name in _DEFAULT_HEADERS:
         if name not in names:
-            sendable[name] = urllib3.util.SKIP_HEADER
+            headers_to_send[name] = urllib3.util.SKIP_HEADER
     if is_fresh:
-        sendable["connection"] = "close"
-    return sendable
+        headers_to_send["connection"] = "close"
+    return headers_to_send
 
 
-def _request(
+def _send_request(
     connection: connections.Connection,
     method: str,
     path: str,
     headers: Mapping[str, str],
     body: Iterator[bytes] | bytes,
 ) -> bool:
-    """Sends a request; tells whether all of it was taken."""
+    """Sends a request; returns whether all of it was sent."""
     try:
         connection.request(
             method,
             path,
-            # With an empty body a GET would be given a length.
+            # An empty body would give a GET a Content-Length header.
             body=body or None,
             headers=headers,
             preload_content=False,
@@ -294,7 +305,7 @@
             enforce_content_length=False,
         )
     except (BrokenPipeError, ConnectionResetError):
-        # The upstream may have answered before it had all of the body.
+        # The upstream may have responded before it read the whole body.
         return False
     return True
 
@@ -303,17 +314,17 @@
     exchange: _Exchange, error: Exception
 ) -> services.UpstreamError:
     if isinstance(error, bodies.BodyError):
-        # The caller's own end failed after bytes may have left.
+        # The caller's body failed; part of it may already have been sent.
         return services.UpstreamError("cancelled", "unknown", str(error))
-    return _error(exchange, error, "unknown")
+    return _upstream_error(exchange, error, "unknown")
 
 
-def _error(
+def _upstream_error(
     exchange: _Exchange, error: Exception, ran: services.Ran
 ) -> services.UpstreamError:
     message = f"{type(error).__name__}: {error}"
     if exchange.is_cancelled:
         return services.UpstreamError("cancelled", ran, message)
-    if isinstance(error, _TIMEOUTS):
+    if isinstance(error, _TIMEOUT_ERRORS):
         return services.UpstreamError("timeout", ran, message)
     return services.UpstreamError("crashed", ran, message)
