--- a/packages/daemon/bulrushdeald/bodies.py
+++ b/packages/daemon/bulrushdeald/bodies.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies: bounded, whole, and never with the key inside."""
+"""Reads request bodies with checks of their size, length and content."""
 
 from collections.abc import Iterator
 
@@ -12,7 +12,7 @@
 
 
 class BodyError(Exception):
-    """A caller's body ended early, was malformed, or held the key."""
+    """A caller's body ended early, was malformed, or contained the key."""
 
 
 def read_whole(
@@ -20,8 +20,8 @@
 ) -> result.Result[bytes, services.Refusal]:
     """Returns a body of at most `max_bytes` bytes.
 
-    A longer one is refused before it is read, by its stated length, or else
-    as soon as it is too long.
+    A larger body is refused by its `Content-Length` before it is read, or
+    otherwise as soon as it exceeds the limit.
     """
     if request.length_bytes > max_bytes:
         return result.Err(_too_large(max_bytes))
@@ -39,35 +39,36 @@
 
 
 def read_exactly(request: httpd.Request) -> Iterator[bytes]:
-    """Yields a body piece by piece.
+    """Yields a body in chunks and checks it against its `Content-Length`.
 
     Raises:
-        BodyError: The caller left, or sent less than it said. Without this
-            an upstream would wait for the rest, or take a part as the whole.
+        BodyError: The caller left, or the body was too short or malformed.
+            Otherwise an upstream would wait for the rest, or accept a partial
+            body as complete.
     """
-    left_bytes = request.length_bytes
-    while left_bytes != 0:
+    remaining_bytes = request.length_bytes
+    while remaining_bytes != 0:
         size_bytes = _CHUNK_BYTES
-        if left_bytes > 0:
-            size_bytes = min(left_bytes, _CHUNK_BYTES)
+        if remaining_bytes > 0:
+            size_bytes = min(remaining_bytes, _CHUNK_BYTES)
         try:
             chunk = request.body.read(size_bytes)
         except (OSError, ValueError) as error:
             raise BodyError(f"The body broke off: {error}") from error
-        if not chunk and left_bytes > 0:
+        if not chunk and remaining_bytes > 0:
             raise BodyError("The body is shorter than its Content-Length.")
         if not chunk:
             return
-        if left_bytes > 0:
-            left_bytes -= len(chunk)
+        if remaining_bytes > 0:
+            remaining_bytes -= len(chunk)
         yield chunk
 
 
 def without_key(chunks: Iterator[bytes], key: str) -> Iterator[bytes]:
-    """Yields a body as long as the key is not in it.
+    """Yields the chunks of a body and stops before one completes the key.
 
     Raises:
-        BodyError: The next piece would have completed the key.
+        BodyError: The body contains the key.
     """
     secret = key.encode()
     tail = b""
--- a/packages/daemon/bulrushdeald/departures.py
+++ b/packages/daemon/bulrushdeald/departures.py
@@ -1,4 +1,4 @@
-"""Notices that a caller left while nothing is being sent to it."""
+"""Detects that callers closed their connections during a request."""
 
 from collections.abc import Callable
 import os
@@ -10,7 +10,7 @@
 
 _log = logs.Log("callers")
 
-# Only the end of the connection wakes: pipelined requests do not.
+# Only the end of a connection is reported, not pipelined requests.
 _EVENTS = select.EPOLLRDHUP | select.EPOLLONESHOT
 _STOP_S = 1.0
 
@@ -18,10 +18,11 @@
 class Departures:
     """Watches callers' sockets on one thread.
 
-    A thread that waits for an upstream would otherwise learn of it only at
-    the next write, which a long prompt or a whole answer makes late: the
-    upstream would go on working for nobody. A caller that closes only its
-    sending side counts as gone, as in common proxies.
+    A thread that waits for an upstream would otherwise detect the closed
+    connection only at its next write to the caller. With a long prompt or a
+    response that is not streamed this write comes late, and the upstream
+    would go on working on a request that nobody needs. A caller that closes
+    only its sending side counts as gone, as in common proxies.
     """
 
     def __init__(self) -> None:
@@ -36,11 +37,11 @@
         )
 
     def start(self) -> None:
-        """Begins to watch."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the thread."""
+        """Stops the thread and waits up to a second for it."""
         self._is_stopping = True
         os.eventfd_write(self._wake, 1)
         if self._thread.is_alive():
@@ -49,38 +50,39 @@
     def watch(
         self, sock: socket.socket, callback: Callable[[], None]
     ) -> Callable[[], None]:
-        """Calls back, on the watching thread, when the caller leaves.
+        """Calls `callback` on the watching thread when the caller leaves.
 
         Returns:
-            What ends the watch; it must be called before the socket is
-            closed, since its number may be another's afterwards.
+            A function that ends the watch. It must be called before the
+            socket is closed, because another socket may reuse the file
+            descriptor afterwards.
         """
-        number = sock.fileno()
-        if number < 0:
+        fd = sock.fileno()
+        if fd < 0:
             return lambda: None
         with self._lock:
-            self._callbacks[number] = callback
-            self._epoll.register(number, _EVENTS)
-        return lambda: self._forget(number)
+            self._callbacks[fd] = callback
+            self._epoll.register(fd, _EVENTS)
+        return lambda: self._unwatch(fd)
 
-    def _forget(self, number: int) -> None:
+    def _unwatch(self, fd: int) -> None:
         with self._lock:
-            if self._callbacks.pop(number, None) is not None:
-                self._epoll.unregister(number)
+            if self._callbacks.pop(fd, None) is not None:
+                self._epoll.unregister(fd)
 
     def _run(self) -> None:
         while not self._is_stopping:
-            for number, _ in self._epoll.poll():
-                # Under the lock, so that the socket is still this caller's
-                # when it is called back for.
+            for fd, _ in self._epoll.poll():
+                # The lock is held during the callback, so that the file
+                # descriptor still belongs to this caller's socket.
                 with self._lock:
-                    callback = self._callbacks.get(number)
+                    callback = self._callbacks.get(fd)
                     if callback is not None:
-                        _call(callback)
+                        _run_callback(callback)
 
 
-def _call(callback: Callable[[], None]) -> None:
+def _run_callback(callback: Callable[[], None]) -> None:
     try:
         callback()
-    except Exception:  # noqa: BLE001 - the other callers are watched on.
+    except Exception:  # noqa: BLE001 - the other watches go on.
         _log.exception("A departed caller's request could not be ended.")
--- a/packages/daemon/bulrushdeald/dispatch.py
+++ b/packages/daemon/bulrushdeald/dispatch.py
@@ -1,4 +1,4 @@
-"""Places a caller's request at an upstream, again only where that is safe."""
+"""Sends callers' requests to upstreams and retries where that is safe."""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -16,13 +16,13 @@
 _log = logs.Log("callers")
 
 _MAX_TRIES = 2
-_OUTCOMES: dict[str, services.Outcome] = {
+_OUTCOMES_BY_KIND: dict[str, services.Outcome] = {
     "unreachable": "refused",
     "crashed": "crashed",
     "timeout": "refused",
     "cancelled": "cancelled",
 }
-_REFUSALS = {
+_REFUSALS_BY_KIND = {
     "unreachable": services.Refusal(
         503, "upstream_unreachable", "No upstream could be reached.", "not_run"
     ),
@@ -40,14 +40,14 @@
 
 
 class Sending(NamedTuple):
-    """What is sent to an upstream.
+    """A request as it is sent to an upstream.
 
     Attributes:
-        method: In capitals.
-        path: With the query.
-        headers: As the upstream may see them.
-        body: Whole, or piece by piece.
-        is_idempotent: Whether it may run twice.
+        method: The HTTP method, in capitals.
+        path: The path with the query.
+        headers: The headers that the upstream may see.
+        body: The whole body, or an iterator over its pieces.
+        is_idempotent: Whether the request may run twice.
     """
 
     method: str
@@ -58,19 +58,19 @@
 
 
 class Started(NamedTuple):
-    """A request that an upstream began to answer."""
+    """A request whose response has begun, with the slot that it holds."""
 
     slot: services.Slot
     answer: services.UpstreamAnswer
 
 
 class Failure(NamedTuple):
-    """A request that no upstream answered whole.
+    """A request that got no complete response from an upstream.
 
     Attributes:
-        refusal: For the caller.
-        upstream: Where it was tried; empty if nowhere.
-        error: What happened there; `None` if nothing was tried.
+        refusal: The error response for the caller.
+        upstream: The upstream of the failed try; empty if it was not sent.
+        error: The upstream's error; `None` if the try was not sent.
     """
 
     refusal: services.Refusal
@@ -81,41 +81,45 @@
 def refusal_of(
     error: services.UpstreamError, call: calls.Call
 ) -> services.Refusal:
-    """Returns what a caller is told of an upstream's failure."""
+    """Returns the refusal that a caller gets for an upstream's error.
+
+    Notes the error's `ran` in `call` first, so that the refusal's `ran`
+    covers all tries of the request.
+    """
     call.note_ran(error.ran)
     if call.reason:
         return calls.REFUSALS[call.reason]._replace(ran=call.ran)
-    refusal = _REFUSALS[error.kind]._replace(ran=call.ran)
+    refusal = _REFUSALS_BY_KIND[error.kind]._replace(ran=call.ran)
     if error.kind == "cancelled":
         return refusal
     return refusal._replace(retry_after_s=_RETRY_AFTER_S)
 
 
-def _refused(refusal: services.Refusal, call: calls.Call) -> Failure:
-    """Returns a try that was not placed, after others that may have run.
+def _unsent_failure(refusal: services.Refusal, call: calls.Call) -> Failure:
+    """Returns the failure of a try that was not sent.
 
-    The failure: a first try breaks off at its engine and the second finds
-    no upstream. It shows as "not run" for a request that ran. The guard
-    holds because each try's end is noted in the call before the next.
+    An earlier try may have run. Its outcome is already noted in `call`, so
+    the failure does not report `not_run` for a request whose first try broke
+    off at an engine and whose second try found no upstream.
     """
     call.note_ran(refusal.ran)
     return Failure(refusal._replace(ran=call.ran))
 
 
 def outcome_of(error: services.UpstreamError) -> services.Outcome:
-    """Returns how a slot went whose request failed."""
-    return _OUTCOMES[error.kind]
+    """Returns the outcome for the slot of a failed request."""
+    return _OUTCOMES_BY_KIND[error.kind]
 
 
 class Dispatcher:
-    """Acquires slots and sends, for all kinds of callers' requests."""
+    """Acquires slots and sends all kinds of callers' requests."""
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: defaults.Settings
     ) -> None:
         self._router = kernel.find(services.ROUTER, services.Router)
         self._upstreams = kernel.find(services.UPSTREAMS, services.Upstreams)
-        self._silence_s = settings.upstream_silence_s
+        self._max_silence_s = settings.upstream_silence_s
         self.budget = retries.RetryBudget()
 
     def run(
@@ -128,11 +132,11 @@
         """Sends until an upstream answers or no further try is allowed.
 
         Args:
-            work: For the router.
-            sending: What to send.
-            call: The open request, which may be ended meanwhile.
-            guard: Is asked, with a slot in hand, before any byte leaves; a
-                refusal from it is final.
+            work: The description of the request for the router.
+            sending: The request to send.
+            call: The open request, which another thread may end meanwhile.
+            guard: The idempotency guard. It is consulted after a slot is
+                acquired and before any byte is sent; its refusal is final.
         """
         while True:
             tried = self._try(work, sending, call, guard)
@@ -147,10 +151,11 @@
     def may_retry(
         self, failure: Failure, sending: Sending, call: calls.Call
     ) -> bool:
-        """Tells whether a failed request may be sent again.
+        """Returns whether a failed request may be sent again.
 
-        It may not have run, or must be idempotent. A method's name proves
-        neither: a GET of a plain service may book something.
+        Either the request has not run, or it is idempotent and its connection
+        broke. The HTTP method does not show this: a GET of a plain service
+        may book something. A permitted retry is taken from the budget.
         """
         error = failure.error
         if error is None:
@@ -161,7 +166,7 @@
         return is_safe and self.take_retry(failure.upstream, call)
 
     def take_retry(self, upstream: str, call: calls.Call) -> bool:
-        """Takes a safe retry from the budget, if one is left."""
+        """Takes a retry from the budget; returns whether one was available."""
         if call.reason or call.tries >= _MAX_TRIES:
             return False
         return self.budget.take(upstream)
@@ -175,14 +180,14 @@
     ) -> result.Result[Started, Failure]:
         acquired = self._router.acquire(work)
         if isinstance(acquired, result.Err):
-            return result.Err(_refused(acquired.err_value, call))
+            return result.Err(_unsent_failure(acquired.err_value, call))
         slot = acquired.ok_value
         refusal = calls.REFUSALS[call.reason] if call.reason else None
         if refusal is None:
             refusal = guard.before_send()
         if refusal is not None:
             slot.release("cancelled")
-            return result.Err(_refused(refusal, call))
+            return result.Err(_unsent_failure(refusal, call))
         upstream = slot.upstream
         call.upstream = upstream.upstream
         call.tries += 1
@@ -193,7 +198,7 @@
             sending.path,
             sending.headers,
             sending.body,
-            self._silence_s,
+            self._max_silence_s,
             is_fresh=not sending.is_idempotent,
             on_open=call.on_end,
         )
@@ -201,7 +206,12 @@
             return result.Ok(Started(slot, sent.ok_value))
         error = sent.err_value
         slot.release(outcome_of(error))
-        _log.info("%s: %s, %s.", upstream.upstream, error.kind, error.message)
+        _log.info(
+            "Upstream %s failed: %s, %s.",
+            upstream.upstream,
+            error.kind,
+            error.message,
+        )
         return result.Err(
             Failure(refusal_of(error, call), upstream.upstream, error)
         )
--- a/packages/daemon/bulrushdeald/headers.py
+++ b/packages/daemon/bulrushdeald/headers.py
@@ -1,9 +1,9 @@
-"""Decides which headers go from one side of the system to the other."""
+"""Filters the headers that pass between callers and upstreams."""
 
 from collections.abc import Iterable, Iterator, Mapping
 import urllib.parse
 
-# What belongs to one connection, by the HTTP standard and by use.
+# Headers of one connection only, by the HTTP standard or by convention.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -17,29 +17,33 @@
         "upgrade",
     }
 )
-# What this system says itself towards an upstream.
-_OWN = frozenset(
+# Headers that this system sets itself on requests to upstreams.
+_SET_BY_SYSTEM = frozenset(
     {"authorization", "content-length", "expect", "host", "idempotency-key"}
 )
 
 
 def bearer(headers: Mapping[str, str]) -> str:
-    """Returns the key in the `Authorization` header, empty if none."""
+    """Returns the bearer key in the `Authorization` header, empty if none."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
 def for_upstream(headers: Mapping[str, str], key: str) -> dict[str, str]:
-    """Returns a caller's headers as an upstream may see them.
+    """Returns those of a caller's headers that an upstream may see.
 
-    The caller's key goes to no upstream: besides `Authorization`, each
-    header is dropped whose name or value holds it, plain or escaped.
+    No upstream may see the caller's key. Besides `Authorization`, each header
+    is dropped whose name or value contains the key, plain or URL-encoded.
 
     Args:
-        headers: The caller's, with names in lower case.
+        headers: The caller's headers, with names in lower case.
         key: The caller's key, not empty.
     """
-    dropped = _HOP_BY_HOP | _OWN | _named(headers.get("connection", ""))
+    dropped = (
+        _HOP_BY_HOP
+        | _SET_BY_SYSTEM
+        | _connection_options(headers.get("connection", ""))
+    )
     return {
         name: value
         for name, value in headers.items()
@@ -48,7 +52,7 @@
 
 
 def without_connection(headers: Mapping[str, str]) -> dict[str, str]:
-    """Returns headers that may go on any connection to an upstream."""
+    """Returns the headers that may be sent on any upstream connection."""
     dropped = _HOP_BY_HOP | {"authorization", "host", "expect"}
     return {
         name: value
@@ -60,18 +64,18 @@
 def for_caller(
     headers: Iterable[tuple[str, str]], is_chunked: bool
 ) -> tuple[tuple[str, str], ...]:
-    """Returns an upstream's headers as the caller may see them.
+    """Returns those of an upstream's headers that the caller may see.
 
     Args:
-        headers: The upstream's.
-        is_chunked: Whether the body came chunked; a length given besides
-            is wrong then.
+        headers: The upstream's headers.
+        is_chunked: Whether the body is chunked; `Content-Length` is then
+            invalid and dropped.
     """
     items = tuple(headers)
     named = ",".join(
         value for name, value in items if name.lower() == "connection"
     )
-    dropped = _HOP_BY_HOP | _named(named)
+    dropped = _HOP_BY_HOP | _connection_options(named)
     if is_chunked:
         dropped |= {"content-length"}
     return tuple(
@@ -80,17 +84,17 @@
 
 
 def holds(*texts: str, key: str) -> bool:
-    """Tells whether the key stands in one of the texts, plain or escaped."""
-    return any(key.lower() in form for form in _forms(texts))
+    """Returns whether a text contains the key, plain or URL-encoded."""
+    return any(key.lower() in form for form in _decoded_forms(texts))
 
 
-def _forms(texts: Iterable[str]) -> Iterator[str]:
-    # A server's library may fold case or undo escapes before we or the
-    # upstream look.
+def _decoded_forms(texts: Iterable[str]) -> Iterator[str]:
+    # An HTTP library here or at the upstream may change the case or decode
+    # escapes, so all these forms are compared.
     for text in texts:
         yield text.lower()
         yield urllib.parse.unquote_plus(text).lower()
 
 
-def _named(connection: str) -> frozenset[str]:
+def _connection_options(connection: str) -> frozenset[str]:
     return frozenset(name.strip().lower() for name in connection.split(","))
--- a/packages/daemon/bulrushdeald/refusals.py
+++ b/packages/daemon/bulrushdeald/refusals.py
@@ -1,4 +1,4 @@
-"""Turns a refusal into the answer that a caller's client understands."""
+"""Converts refusals to HTTP error responses."""
 
 import math
 
@@ -16,18 +16,18 @@
 
 
 def response(refusal: services.Refusal) -> httpd.Response:
-    """Returns the whole answer, with `Retry-After` where it helps."""
+    """Returns the HTTP response, with `Retry-After` if a retry may succeed."""
     headers: tuple[tuple[str, str], ...] = ()
     if refusal.retry_after_s > 0:
-        # The header takes whole seconds; rounding down would invite a
-        # request that must be refused again.
+        # The header takes whole seconds. Rounding down would lead the client
+        # to retry too early and be refused again.
         seconds = math.ceil(refusal.retry_after_s)
         headers = (("Retry-After", str(seconds)),)
     return httpd.json_response(refusal.status, body(refusal), headers)
 
 
 def body(refusal: services.Refusal) -> dict[str, dict[str, str | None]]:
-    """Returns the JSON that tells a refusal."""
+    """Returns the JSON body of the error response."""
     return {
         "error": {
             "message": refusal.message,
@@ -40,10 +40,15 @@
 
 
 def bad_input(message: str, field: str = "") -> services.Refusal:
-    """Returns the refusal of a request that is wrong in itself."""
+    """Returns the refusal of an invalid request.
+
+    Args:
+        message: The error text for people.
+        field: The invalid field or line, empty if none.
+    """
     return services.Refusal(400, "invalid_request", message, field=field)
 
 
 def not_found(message: str) -> services.Refusal:
-    """Returns the refusal of a request for something that is not there."""
+    """Returns the refusal of a request for something that does not exist."""
     return services.Refusal(404, "not_found", message)
--- a/packages/daemon/bulrushdeald/retries.py
+++ b/packages/daemon/bulrushdeald/retries.py
@@ -1,12 +1,12 @@
-"""A budget that keeps retries from doubling the load on a failing upstream."""
+"""A retry budget, so that retries cannot double a failing upstream's load."""
 
 import threading
 
-# Retries may add this share to what is sent to an upstream.
-_SHARE = 0.1
-# So that a quiet upstream's single failure can be retried as well.
-_START = 3.0
-_MAX = 30.0
+# Retries may add this fraction to the requests sent to an upstream.
+_RETRIES_PER_REQUEST = 0.1
+# Allows retries at an upstream that has had few requests so far.
+_INITIAL_TOKENS = 3.0
+_MAX_TOKENS = 30.0
 
 
 class RetryBudget:
@@ -17,21 +17,23 @@
         self._tokens: dict[str, float] = {}
 
     def note_request(self, upstream: str) -> None:
-        """Counts a first try, which earns a part of a retry."""
+        """Counts a sent request, which earns a fraction of a retry."""
         with self._lock:
-            tokens = self._tokens.get(upstream, _START)
-            self._tokens[upstream] = min(tokens + _SHARE, _MAX)
+            tokens = self._tokens.get(upstream, _INITIAL_TOKENS)
+            self._tokens[upstream] = min(
+                tokens + _RETRIES_PER_REQUEST, _MAX_TOKENS
+            )
 
     def take(self, upstream: str) -> bool:
-        """Tells whether a request that failed there may be sent again."""
+        """Takes one retry from the budget; returns whether one was left."""
         with self._lock:
-            tokens = self._tokens.get(upstream, _START)
+            tokens = self._tokens.get(upstream, _INITIAL_TOKENS)
             if tokens < 1:
                 return False
             self._tokens[upstream] = tokens - 1
             return True
 
     def state(self) -> dict[str, float]:
-        """Returns the retries left for each upstream, for the dump."""
+        """Returns the retries left by upstream, for the state dump."""
         with self._lock:
             return {name: round(left, 1) for name, left in self._tokens.items()}
--- a/packages/daemon/bulrushdeald/streams.py
+++ b/packages/daemon/bulrushdeald/streams.py
@@ -1,4 +1,4 @@
-"""Relays server-sent events, only whole ones, and tells a cut from an end."""
+"""Relays complete server-sent events and detects truncated streams."""
 
 from collections.abc import Iterable, Iterator
 import json
@@ -8,63 +8,66 @@
 from bulrushdeald import refusals
 from bulrushdeald import services
 
-_DONE = b"data: [DONE]"
+_LAST_EVENT = b"data: [DONE]"
 _MAX_EVENT_BYTES = 4_000_000
-# How an event without choices looks, whether or not spaces are written.
+# An event without choices contains one of these, depending on the spacing.
 _NO_CHOICES = b'"choices":[]'
 _NO_CHOICES_SPACED = b'"choices": []'
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 def whole_events(
     chunks: Iterable[result.Result[bytes, services.UpstreamError]],
 ) -> Iterator[result.Result[bytes, services.UpstreamError]]:
-    """Yields runs of whole events, and an error if the stream was cut.
+    """Yields runs of complete events, and an error if the stream is truncated.
 
-    A part of an event is held back: if the upstream breaks off inside one,
-    the client would read it together with our error as one broken event.
-    A stream that ends without its last event is cut, however the connection
-    ended: the end of a body without a length looks the same either way.
+    An incomplete event is held back until it is complete. If it were relayed
+    and the upstream then failed, a client would read it and the error event
+    that follows as one malformed event.
+
+    A stream without `data: [DONE]` counts as truncated however its connection
+    ended, because the end of a body without a length looks the same after a
+    failure.
     """
-    held = b""
+    partial = b""
     last = b""
     for item in chunks:
         if isinstance(item, result.Err):
             yield item
             return
-        data = held + item.ok_value if held else item.ok_value
-        if data.endswith(_ENDS):
-            held = b""
+        data = partial + item.ok_value if partial else item.ok_value
+        if data.endswith(_EVENT_TERMINATORS):
+            partial = b""
             last = data
             yield result.Ok(data)
             continue
-        cut = _last_end(data)
-        held = data[cut:]
-        if cut > 0:
-            last = data[:cut]
+        end = _end_of_last_event(data)
+        partial = data[end:]
+        if end > 0:
+            last = data[:end]
             yield result.Ok(last)
-        if len(held) > _MAX_EVENT_BYTES:
-            yield result.Err(_cut("An event is too long."))
+        if len(partial) > _MAX_EVENT_BYTES:
+            yield result.Err(_stream_error("An event is too long."))
             return
-    if not is_last(last) or held.strip():
-        yield result.Err(_cut("The stream has no end."))
+    if not is_last(last) or partial.strip():
+        yield result.Err(_stream_error("The stream ended early."))
 
 
 def is_last(data: bytes) -> bool:
-    """Tells whether whole events end with the last one of a stream."""
-    return data.rstrip().endswith(_DONE)
+    """Returns whether a run of events ends with `data: [DONE]`."""
+    return data.rstrip().endswith(_LAST_EVENT)
 
 
 def without_usage(data: bytes) -> bytes:
-    """Returns whole events without those that tell only the usage.
+    """Returns a run of events without those that report only the usage.
 
-    The caller did not ask for them, and some clients expect a choice in
-    each event.
+    It is for callers that did not request the usage: some clients expect a
+    choice in each event.
     """
-    # For each token, so no generator.
+    # This runs for each token; `any` with a generator would be slower.
     if _NO_CHOICES not in data and _NO_CHOICES_SPACED not in data:
         return data
-    kept = [event for event in _split(data) if not _tells_usage(event)]
+    kept = [event for event in _split(data) if not _is_usage_only(event)]
     return b"".join(kept)
 
 
@@ -73,7 +76,7 @@
     return [event + end for event in data.split(end) if event]
 
 
-def _tells_usage(event: bytes) -> bool:
+def _is_usage_only(event: bytes) -> bool:
     try:
         value = json.loads(event.strip().removeprefix(b"data:"))
     except ValueError:
@@ -83,17 +86,18 @@
     return isinstance(value.get("usage"), dict)
 
 
-def _last_end(data: bytes) -> int:
+def _end_of_last_event(data: bytes) -> int:
     return max(
-        data.rfind(end) + len(end) if end in data else 0 for end in _ENDS
+        data.rfind(end) + len(end) if end in data else 0
+        for end in _EVENT_TERMINATORS
     )
 
 
 def error_event(refusal: services.Refusal) -> bytes:
-    """Returns the event that ends a stream which could not be made whole."""
+    """Returns the event that ends a truncated stream with an error."""
     data = json.dumps(refusals.body(refusal)).encode()
     return b"data: " + data + b"\n\n"
 
 
-def _cut(message: str) -> services.UpstreamError:
+def _stream_error(message: str) -> services.UpstreamError:
     return services.UpstreamError("crashed", "ran", message)
