--- a/tests/daemon/test_atmostonce.py
+++ b/tests/daemon/test_atmostonce.py
@@ -1,4 +1,4 @@
-"""A request runs at most once, and `not_run` is never a lie."""
+"""Tests that a request runs at most once and `not_run` is always true."""
 
 from collections.abc import Iterator
 import http.client
@@ -12,7 +12,7 @@
 from standins import web
 from support import pathfakes
 
-# Each place where an upstream can break off.
+# Every point at which an upstream can drop the connection.
 POINTS: tuple[web.DropPoint, ...] = (
     "head",
     "in_head",
@@ -37,9 +37,10 @@
 
 
 def book(vm: pathfakes.SmallVm, run: str, **headers: str) -> Any:
-    """Returns the answer's status and `ran`; a cut answer is `ran`.
+    """Returns a response's status and `ran`, which is `ran` if truncated.
 
-    Of an answer that the idempotency key gave, the code is returned.
+    For a 409, which the idempotency key causes, the error code is returned
+    instead of `ran`.
     """
     path = "/services/booking/orders"
     try:
@@ -56,12 +57,12 @@
     two_vms: tuple[pathfakes.SmallVm, pathfakes.SmallVm],
     booking: plain.PlainService,
 ) -> None:
-    """Story: a bursar confirms an order and the ordering service breaks off.
+    """Guards against a duplicate order after the service drops a connection.
 
-    The bursar gets an error and presses again, now through another VM. The
-    order must not be placed twice by this system, and where the error says
-    "not run" no order may stand. Cause: a connection broken at any point of
-    request or answer.
+    The connection breaks at any point of the request or the response, and the
+    caller repeats the request through another VM. This system must not place
+    the order twice, and an error with `not_run` must mean that no order
+    exists.
     """
     one, two = two_vms
     for point in POINTS:
@@ -81,25 +82,26 @@
     pathfakes.wait_until(lambda: not two.callers.dump().open_calls)
 
 
-def test_reused_connection_is_not_closed_under_a_booking(
+def test_booking_uses_a_new_connection(
     two_vms: tuple[pathfakes.SmallVm, pathfakes.SmallVm],
     booking: plain.PlainService,
 ) -> None:
-    """Story: the second of two bookings is answered "unknown" for nothing.
+    """Guards against an avoidable `unknown` from a reused connection.
 
-    The booking service closes a kept connection just as the next booking is
-    written to it, so nobody can tell whether it ran, and a person must call
-    the member firm. Cause: a kept connection used for a booking.
+    The service closes a reused connection just as the next booking is written
+    to it. Whether the booking ran is then unknown, and a person must ask the
+    member firm. Bookings therefore use new connections.
     """
     booking.faults = web.Faults(drop_at="head", drop_reused=True)
     for run in ("first", "second"):
         assert book(two_vms[0], run) == (200, "ran")
 
 
-def test_keyed_model_call_takes_no_kept_connection() -> None:
-    """Story: a call that its caller wants run once is "unknown" for nothing.
+def test_model_call_with_key_uses_a_new_connection() -> None:
+    """Guards against an avoidable `unknown` for a model call with a key.
 
-    As above, but here calls that may be repeated left a connection.
+    The idle connection comes from an earlier model call without a key, which
+    may be repeated.
     """
     server = engine.Engine(timing=pathfakes.FAST)
     server.start()
@@ -113,14 +115,15 @@
     server.stop()
 
 
-def test_resent_while_running_and_after(
+def test_resend_during_and_after_the_first_request(
     two_vms: tuple[pathfakes.SmallVm, pathfakes.SmallVm],
     booking: plain.PlainService,
 ) -> None:
-    """Story: a dispatcher's client gives up waiting and resends a booking.
+    """Guards against a duplicate booking when a client resends a request.
 
-    The first request still runs at the booking service. The second comes to
-    another VM, gets "in progress" and later the very answer of the first.
+    The first request still runs at the service. The second one reaches
+    another VM and gets `in_progress`; after the first has ended, a third one
+    gets its response.
     """
     one, two = two_vms
     booking.faults = web.Faults(freeze_s=0.3)
@@ -145,14 +148,14 @@
     assert booking.runs["slow"] == 1
 
 
-def test_caller_gone_then_asks_again(
+def test_departed_caller_resends(
     two_vms: tuple[pathfakes.SmallVm, pathfakes.SmallVm],
     booking: plain.PlainService,
 ) -> None:
-    """Story: a phone loses its signal while a booking is being made.
+    """Guards against a lost response when the caller's connection breaks.
 
-    The booking goes on, and the phone's next try with the same key gets the
-    first one's answer, through whichever VM.
+    The booking goes on, and the next try with the same key gets the response
+    to the first one, through any VM.
     """
     one, two = two_vms
     booking.faults = web.Faults(freeze_s=0.2)
@@ -177,15 +180,15 @@
     assert booking.runs["gone"] == 1
 
 
-def test_vm_lost_with_a_booking_under_way(
+def test_vm_lost_during_a_booking(
     two_vms: tuple[pathfakes.SmallVm, pathfakes.SmallVm],
     booking: plain.PlainService,
 ) -> None:
-    """Story: the VM dies after it sent a booking, and the caller resends.
+    """Guards against a duplicate booking when a VM is lost after sending it.
 
-    Nobody can tell whether the booking was made. The other VM must say so,
-    every time, and not make it again; nor may the first VM's late answer, if
-    it was only cut off, change what was said.
+    Whether the booking was made is unknown. The other VM must report this on
+    every try and not send the booking again. If the first VM was only cut
+    off, its late response must not change this outcome.
     """
     one, two = two_vms
     booking.faults = web.Faults(freeze_s=0.5)
@@ -204,7 +207,7 @@
     assert booking.runs["lost"] == 1
 
 
-def test_platform_out(
+def test_platform_outage(
     two_vms: tuple[pathfakes.SmallVm, pathfakes.SmallVm],
     booking: plain.PlainService,
 ) -> None:
@@ -234,17 +237,18 @@
         assert "refused" in vm.router.outcomes
     with pathfakes.running(rows[1]) as vm:
         assert book(vm, "none") == (503, "not_run")
-        # The budget is small: a dead upstream is not asked twice for ever.
+        # The retry budget bounds the second tries at a dead upstream.
         for _ in range(10):
             assert book(vm, "none") == (503, "not_run")
         assert len(vm.router.works) < 20
 
 
-def test_model_calls_are_tried_again_before_the_first_byte() -> None:
-    """Story: an editor's glossary request meets an engine that breaks off.
+def test_model_calls_are_retried_before_the_first_byte() -> None:
+    """Guards against passing on an engine failure that a retry can hide.
 
-    Nothing was shown yet and the call changes nothing, so it is sent once
-    more, and the editor sees one whole answer.
+    The engine drops the connection before the first byte of its response. A
+    model call without a key changes nothing, so it is sent once more, and the
+    caller gets one complete response.
     """
     server = engine.Engine(timing=pathfakes.FAST)
     server.start()
@@ -257,7 +261,7 @@
         server.faults = web.Faults(drop_at="after_body", drop_times=2)
         reply = vm.ask("POST", "/v1/chat/completions", pathfakes.chat())
         assert (reply.status, reply.error["ran"]) == (502, "unknown")
-        # With a key its caller asks for one run at most.
+        # A call with an idempotency key may run at most once.
         server.faults = web.Faults(drop_at="after_body", drop_times=1)
         reply = vm.ask(
             "POST",
@@ -271,16 +275,16 @@
     server.stop()
 
 
-def test_two_tries_in_all() -> None:
-    """Story: one editor's request is sent four times to a failing fleet.
+def test_at_most_two_tries_in_total() -> None:
+    """Guards against sending one request four times to failing engines.
 
-    The first engine cannot be reached and the second breaks off inside its
-    whole answer; each failure alone had its own second try.
+    The first engine is unreachable and the second drops the connection inside
+    its response. Each kind of failure once had a retry of its own.
     """
     server = engine.Engine(timing=pathfakes.FAST)
     server.start()
     server.faults = web.Faults(drop_at="answer")
-    # Nothing listens on port 1; a broken address is no better.
+    # Nothing listens on port 1; an invalid address must fail the same way.
     rows = (
         pathfakes.engine_row(server.address),
         pathfakes.engine_row("127.0.0.1:1", "gone"),
@@ -296,15 +300,15 @@
 
 
 def test_second_try_does_not_hide_that_the_first_may_have_run() -> None:
-    """Story: a translator is told that a request did not run, and it did.
+    """Guards against `not_run` for a request whose first try may have run.
 
-    An engine breaks off after it took the call. The call changes nothing, so
-    it is sent once more; the second engine cannot be reached, or says that
-    it is full, and only its part was told. Cause: each try's own end.
+    An engine drops the connection or responds with 503 after it read the
+    call, and the retry at the second engine cannot connect. The error must
+    cover both tries, not only the last one.
     """
     server = engine.Engine(timing=pathfakes.FAST)
     server.start()
-    # The slots are given in turn from the second row on.
+    # The static router gives slots in turn, from the second row on.
     rows = (
         pathfakes.engine_row("127.0.0.1:1", "gone"),
         pathfakes.engine_row(server.address),
--- a/tests/daemon/test_cutstreams.py
+++ b/tests/daemon/test_cutstreams.py
@@ -1,4 +1,4 @@
-"""What a caller sees when a stream is cut, by whichever end."""
+"""Tests of streams that the upstream, the caller or this system cuts off."""
 
 import http.client
 import json
@@ -53,13 +53,13 @@
     return [d if d == b"[DONE]" else json.loads(d) for d in datas if d]
 
 
-def test_engine_breaks_off(
+def test_engine_drops_connection(
     vm: pathfakes.SmallVm, standins: tuple[engine.Engine, Any]
 ) -> None:
-    """Story: a teacher watches a quiz being written and it stops.
+    """Guards against a truncated stream that looks complete to the caller.
 
-    The engine broke off after the first words. The stream must end with an
-    error that says the request ran, and not look finished.
+    The engine drops the connection after the first words. The stream must
+    end with an error that says that the request ran.
     """
     standins[0].faults = web.Faults(drop_at="answer")
     reply = vm.ask("POST", PATH, pathfakes.chat(stream=True))
@@ -70,7 +70,7 @@
     pathfakes.wait_until(lambda: vm.router.outcomes == ["crashed"])
 
 
-def test_engine_falls_silent(
+def test_engine_times_out(
     vm: pathfakes.SmallVm, standins: tuple[engine.Engine, Any]
 ) -> None:
     standins[0].faults = web.Faults(freeze_in_answer_s=3.0)
@@ -78,13 +78,13 @@
     assert events(reply.body)[-1]["error"]["code"] == "upstream_timeout"
 
 
-def test_plain_answer_breaks_off(
+def test_service_drops_connection(
     vm: pathfakes.SmallVm, standins: tuple[Any, plain.PlainService]
 ) -> None:
-    """Story: half a price list is taken for the whole of it.
+    """Guards against a partial response that looks complete to the caller.
 
-    The service broke off inside a chunked answer. The caller's connection
-    must break as well: a proper end would make the half look whole.
+    The service drops the connection inside a chunked response. The caller's
+    connection must break as well, since a regular end would hide the loss.
     """
     standins[1].faults = web.Faults(drop_at="answer")
     for path in ("/services/booking/stream", "/services/booking/"):
@@ -96,24 +96,25 @@
 def test_only_503_counts_against_an_upstream(
     vm: pathfakes.SmallVm, standins: tuple[engine.Engine, Any]
 ) -> None:
-    """Story: one firm's bad request takes an engine from all the others.
+    """Guards against one customer's bad request disabling an engine for all.
 
-    The engine answers it with 500 each time. If that counted as the engine's
-    own failure, it would be given no work for a while.
+    The engine responds to it with 500 each time. If that counted as a failure
+    of the engine, it would get no requests for a while.
     """
     for status in (500, 400, 503):
         standins[0].faults = web.Faults(refuse_status=status)
         assert vm.ask("POST", PATH, pathfakes.chat()).status == status
-    # A model's call is tried once more, here at the same engine.
+    # A model call with 503 is retried once, here at the same engine.
     assert vm.router.outcomes == ["ok", "ok", "refused", "refused"]
     codes = [event.outcome for event in vm.usage.events]
     assert codes == ["upstream_500", "upstream_400", "upstream_503"]
 
 
-def test_starting_engine_sends_nobody_away() -> None:
-    """Story: an editor is refused by an engine that still loads its model.
+def test_503_of_a_starting_engine_is_retried_elsewhere() -> None:
+    """Guards against passing on the 503 of an engine that loads its model.
 
-    The other engine had room, and the call may run anywhere.
+    Another engine has a free slot, so the call is retried there, unless it
+    has an idempotency key.
     """
     engines = [engine.Engine(timing=pathfakes.FAST) for _ in range(2)]
     rows = []
@@ -130,13 +131,13 @@
         server.stop()
 
 
-def test_caller_leaves(
+def test_departed_caller_cancels_engine_request(
     vm: pathfakes.SmallVm, standins: tuple[engine.Engine, Any]
 ) -> None:
-    """Story: an editor closes the window; the engine works on for nobody.
+    """Guards against an engine that works on after its caller left.
 
-    It must be told at once: in the middle of a stream, while the first word
-    is awaited, and while a whole answer is.
+    The engine's request must be cancelled at once: in the middle of a stream,
+    before its first token, and before a response that is not streamed.
     """
     calls = (
         pathfakes.chat(stream=True, max_tokens=400),
@@ -160,12 +161,12 @@
     assert not vm.callers.dump().open_calls
 
 
-def test_caller_that_leaves_after_the_last_event_was_served() -> None:
-    """Story: the report says that a caller left, and it had its answer.
+def test_caller_that_leaves_after_the_last_event_counts_as_served() -> None:
+    """Guards against counting a served caller as `caller_left`.
 
-    A client closes its connection as soon as `[DONE]` is there, before the
-    engine has ended its own answer; the request counted as `caller_left`.
-    Seen as a report that never counted all, once in five runs of the demo.
+    A client closes its connection as soon as it has `[DONE]`, before the
+    engine has ended its response. In one of five runs of the demo, the usage
+    report therefore never counted all requests.
     """
     event = b'data: {"choices": []}\n\ndata: [DONE]\n\n'
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -195,44 +196,46 @@
 def test_withdrawn_key_ends_open_streams(
     vm: pathfakes.SmallVm, standins: tuple[engine.Engine, Any]
 ) -> None:
-    """Story: a key leaked and is withdrawn while its thief reads a stream.
+    """Guards against open requests that go on after their key is withdrawn.
 
-    The open stream must end within seconds, the engine's run with it, and
-    another customer's stream must go on.
+    The open stream must end within seconds, together with the engine's run,
+    and another customer's stream must go on.
     """
     call = pathfakes.chat(stream=True, max_tokens=50)
-    thief, stolen = begin(vm, PATH, call)
-    other, lawful = begin(vm, PATH, call, pathfakes.OTHER_KEY)
-    # One that is still waiting for its whole answer.
+    withdrawn_connection, withdrawn_response = begin(vm, PATH, call)
+    other_connection, unaffected_response = begin(
+        vm, PATH, call, pathfakes.OTHER_KEY
+    )
+    # A request without streaming that still waits for its response.
     waiting = vm.connect()
     headers = {"Authorization": f"Bearer {pathfakes.KEY}"}
     body = json.dumps(pathfakes.chat(max_tokens=400))
     waiting.request("POST", PATH, body, headers)
     pathfakes.wait_until(lambda: standins[0].counts["started"] == 3)
     vm.config.withdraw(pathfakes.KEY)
-    last = events(stolen.read())[-1]
+    last = events(withdrawn_response.read())[-1]
     assert (last["error"]["code"], last["error"]["ran"]) == (
         "key_withdrawn",
         "ran",
     )
     refused = pathfakes.Reply(waiting.getresponse())
     assert (refused.status, refused.error["code"]) == (401, "key_withdrawn")
-    assert events(lawful.read())[-1] == b"[DONE]"
+    assert events(unaffected_response.read())[-1] == b"[DONE]"
     assert standins[0].counts["cancelled"] == 2
     assert vm.ask("GET", "/v1/models").status == 401
-    for connection in (thief, other, waiting):
+    for connection in (withdrawn_connection, other_connection, waiting):
         connection.close()
 
 
-def test_key_withdrawn_while_its_request_comes_in(
+def test_key_withdrawn_during_authentication(
     vm: pathfakes.SmallVm,
     standins: tuple[engine.Engine, Any],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Story: a thief's long stream goes on after the key is withdrawn.
+    """Guards against a race between authentication and key withdrawal.
 
-    The key was found in force, then withdrawn, and only then the request
-    stood among the open ones that the withdrawal ends.
+    The key is withdrawn after its check, but before the request is among the
+    open requests that the withdrawal ends.
     """
     find = vm.config.authenticate
 
@@ -253,10 +256,11 @@
     vm: pathfakes.SmallVm,
     standins: tuple[engine.Engine, plain.PlainService],
 ) -> None:
-    """Story: a plain service's log gives away its callers' keys.
+    """Guards against disclosing a caller's key to an upstream.
 
-    A caller's library may put the key into several headers. None reaches an
-    upstream; a key in a path or body is refused, as it cannot be taken out.
+    A client library may put the key into several headers, which are dropped.
+    A request with the key in its path or body is refused, since the key
+    cannot be removed there.
     """
     key = pathfakes.KEY
     headers = {
@@ -293,7 +297,7 @@
 
 @pytest.mark.parametrize("size", [1, 7, 1000])
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n"])
-def test_events_are_relayed_whole(size: int, end: bytes) -> None:
+def test_only_complete_events_are_relayed(size: int, end: bytes) -> None:
     stream = end.join((b'data: {"a": 1}', b"data: [DONE]", b""))
 
     def cut_at(stop: int) -> Any:
--- a/tests/daemon/test_drain.py
+++ b/tests/daemon/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request short."""
+"""Tests that a planned stop of a VM interrupts no request."""
 
 import http.client
 import json
@@ -14,14 +14,14 @@
 
 
 class Client:
-    """Sends on one kept connection until the balancer knows of the stop."""
+    """Sends requests on one connection until a response closes it."""
 
     def __init__(self, vm: pathfakes.SmallVm, call: Any, path: str) -> None:
         self._vm = vm
         self._call = json.dumps(call)
         self._path = path
-        self.whole = 0
-        self.cut: list[str] = []
+        self.response_count = 0
+        self.failures: list[str] = []
         self.thread = threading.Thread(target=self._run)
         self.thread.start()
 
@@ -34,22 +34,22 @@
                 response = connection.getresponse()
                 body = response.read()
             except (OSError, http.client.HTTPException) as error:
-                self.cut.append(repr(error))
+                self.failures.append(repr(error))
                 return
             if response.status != 200 or b"error" in body:
-                self.cut.append(f"{response.status} {body[-300:]!r}")
-            self.whole += 1
+                self.failures.append(f"{response.status} {body[-300:]!r}")
+            self.response_count += 1
             if response.getheader("Connection") == "close":
                 connection.close()
                 return
 
 
 def test_stop_under_load() -> None:
-    """Story: an operator replaces a VM in the middle of the school day.
+    """Guards against lost requests when a VM stops under load.
 
-    Streams are open, and callers send one request after the other on kept
-    connections. Each must get its whole answer, and be told by the answer to
-    send the next one elsewhere.
+    Streams are open, and callers send one request after another on reused
+    connections. Each must get a complete response, and the last one on a
+    connection must carry `Connection: close`.
     """
     servers = (engine.Engine(timing=TIMING), plain.PlainService())
     for server in servers:
@@ -69,18 +69,18 @@
             *[({}, "/services/booking/")] * 4,
         )
     ]
-    pathfakes.wait_until(lambda: all(c.whole for c in clients))
+    pathfakes.wait_until(lambda: all(c.response_count for c in clients))
     vm.kernel.stop(20.0)
     for client in clients:
         client.thread.join(10)
-    assert [client.cut for client in clients] == [[]] * len(clients)
+    assert [client.failures for client in clients] == [[]] * len(clients)
     assert vm.callers.dump().open_calls == ()
     for server in servers:
         server.stop()
 
 
-def test_grace_over() -> None:
-    """What is still open after the grace ends with an error, not a cut."""
+def test_open_stream_ends_with_an_error_after_the_grace() -> None:
+    """A stream that is open after the grace ends with an error event."""
     server = engine.Engine(timing=TIMING)
     server.start()
     vm = pathfakes.SmallVm(pathfakes.engine_row(server.address), unready_s=0.0)
@@ -93,7 +93,7 @@
     stopping = threading.Thread(target=vm.kernel.stop, args=(0.5,))
     stopping.start()
     pathfakes.wait_until(lambda: vm.callers.dump().state == "stopping")
-    # What a second signal logs: neither key nor prompt.
+    # A second stop signal logs this state, which has no key and no prompt.
     (state,) = vm.callers.dump().open_calls
     assert (state.customer, state.path) == ("schools", PATH)
     assert state.upstream == "engine-1"
@@ -105,11 +105,11 @@
     server.stop()
 
 
-def test_new_connections_are_served_until_the_balancer_knows() -> None:
-    """Story: callers are refused because a VM stopped before it said so.
+def test_new_connections_are_served_before_the_balancer_notices() -> None:
+    """Guards against refusing callers before the balancer notices the stop.
 
-    The balancer asks for the health only now and then and sends new callers
-    here meanwhile.
+    The balancer checks the health only periodically and until then still
+    sends new callers to this VM.
     """
     server = plain.PlainService()
     server.start()
@@ -122,6 +122,6 @@
     assert (health.status, health.headers["connection"]) == (503, "close")
     reply = vm.ask("POST", "/services/booking/", {})
     assert (reply.status, reply.headers["connection"]) == (200, "close")
-    # With nothing open it does not wait for the rest of the grace.
+    # Without open requests the stop does not wait for the end of the grace.
     stopping.join()
     server.stop()
--- a/tests/daemon/test_upstreams.py
+++ b/tests/daemon/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Each request gets the whole answer that is its own, or an error."""
+"""Tests that each request gets its own complete response, or an error."""
 
 from collections.abc import Iterator
 import json
@@ -32,7 +32,7 @@
 
 
 def get(client: upstreams.HttpUpstreams, address: str) -> Any:
-    """Returns a whole answer's body, or the error's kind and `ran`."""
+    """Returns the body of a complete response, or an error's kind and `ran`."""
     sent = client.send(
         pathfakes.plain_row(address), "GET", "/", {}, b"", timeout_s=2.0
     )
@@ -67,7 +67,7 @@
         (b"garbage\r\n\r\n" + CLOSE, ("crashed", "unknown")),
     ],
 )
-def test_one_answer(
+def test_single_response(
     client: upstreams.HttpUpstreams, script: bytes, expected: Any
 ) -> None:
     server = rawupstream.RawUpstream(script)
@@ -75,13 +75,13 @@
     server.close()
 
 
-def test_bytes_beyond_an_answer_never_reach_the_next(
+def test_extra_bytes_do_not_reach_the_next_request(
     client: upstreams.HttpUpstreams,
 ) -> None:
-    """Story: a householder reads a reply that was written for another.
+    """Guards against a caller reading a response meant for another caller.
 
-    An upstream sends more than its answer's length, a second answer even.
-    On the kept connection those bytes would be the next request's answer.
+    An upstream sends more bytes than its `Content-Length`, here a second
+    response. On a reused connection they would answer the next request.
     """
     extra = HEAD + b"one" + HEAD + b"two"
     server = rawupstream.RawUpstream(extra, HEAD + b"own", HEAD + b"too")
@@ -92,7 +92,7 @@
     server.close()
 
 
-def test_connection_closed_while_idle_is_not_used(
+def test_connection_closed_while_idle_is_not_reused(
     client: upstreams.HttpUpstreams,
 ) -> None:
     server = rawupstream.RawUpstream(HEAD + b"one" + CLOSE, HEAD + b"two")
@@ -107,11 +107,11 @@
     return not any(item.connection.is_connected for item in idle)
 
 
-def test_cancel_ends_a_blocked_read_and_an_awaited_head() -> None:
-    """Story: an editor closes the window while an engine is silent.
+def test_cancel_ends_blocked_reads_of_body_and_head() -> None:
+    """A cancellation ends the read at once instead of at its timeout.
 
-    The read must end at once, not at the timeout, and a body without a
-    length must not look whole because we ended it ourselves.
+    A body without a length ends with its connection, so a cancelled one must
+    not count as complete.
     """
     client = upstreams.HttpUpstreams(kernel_lib.Kernel(), pathfakes.settings())
     server = rawupstream.RawUpstream(b"HTTP/1.0 200 OK\r\n\r\npart", b"")
@@ -141,8 +141,8 @@
     server.close()
 
 
-class Open:
-    """An answer under way and what it has to be."""
+class OpenAnswer:
+    """A response in progress and its expected text."""
 
     def __init__(
         self,
@@ -160,12 +160,12 @@
 
 
 class OwnAnswerMachine(stateful.RuleBasedStateMachine):
-    """Story: many callers share connections to one engine.
+    """Checks that callers sharing connections get only their own responses.
 
-    Answers are read, left half read, cancelled early, late and twice; the
-    engine drops connections, freezes, and answers after we gave up. Whatever
-    the order, what a caller reads is a beginning of its own answer, and what
-    ends without an error is all of it.
+    Responses are read, abandoned, and cancelled early, late and twice. The
+    engine drops connections, freezes, and responds after the timeout. In any
+    order, what a caller reads is a prefix of its own response, and a response
+    that ends without an error is complete.
     """
 
     def __init__(self) -> None:
@@ -177,7 +177,7 @@
         self.client = upstreams.HttpUpstreams(
             kernel_lib.Kernel(), pathfakes.settings()
         )
-        self.open: list[Open] = []
+        self.open: list[OpenAnswer] = []
         self.old_cancels: list[Any] = []
         self.count = 0
 
@@ -207,16 +207,17 @@
             timeout_s,
             on_open=cancels.append,
         )
-        # A fault that is over must not meet a request sent later.
+        # A request fails only during a fault or after a short timeout; an
+        # earlier fault must not affect it.
         assert isinstance(sent, result.Ok) or may_fail
         if isinstance(sent, result.Ok):
             expected = "".join(engine.words(prompt, size))
             self.open.append(
-                Open(expected, sent.ok_value, cancels[0], may_fail)
+                OpenAnswer(expected, sent.ok_value, cancels[0], may_fail)
             )
 
-    def pick(self, index: int) -> list[Open]:
-        """Returns one open answer, or none if there is none."""
+    def pick(self, index: int) -> list[OpenAnswer]:
+        """Returns a list with one open response, empty if none is open."""
         count = len(self.open)
         return [self.open[index % count]] if count else []
 
@@ -231,11 +232,11 @@
         for item in self.pick(index):
             self.finish(item)
 
-    def finish(self, item: Open) -> None:
+    def finish(self, item: OpenAnswer) -> None:
         while item in self.open:
             self.read_one(item)
 
-    def read_one(self, item: Open) -> None:
+    def read_one(self, item: OpenAnswer) -> None:
         if item not in self.open:
             return
         got = next(item.chunks, None)
@@ -249,7 +250,7 @@
             assert item.may_fail, got
         self.end(item)
 
-    def end(self, item: Open) -> None:
+    def end(self, item: OpenAnswer) -> None:
         text, _ = text_of(item.body)
         assert item.expected.startswith(text)
         item.answer.close()
@@ -270,7 +271,7 @@
 
     @stateful.rule()
     def cancel_late(self) -> None:
-        """A cancellation that comes after its answer hits nobody else."""
+        """Cancelling a finished request does not affect another request."""
         self.engine.faults = web.Faults(freeze_in_answer_s=0.005)
         self.ask(True, 3, timeout_s=5.0)
         item = self.open[-1]
@@ -281,7 +282,7 @@
 
     @stateful.rule(size=st.integers(2, 9))
     def leave_silent_answer(self, size: int) -> None:
-        """An answer is left while its engine is silent, and goes on later."""
+        """A response is closed while its engine pauses before the rest."""
         self.engine.faults = web.Faults(freeze_in_answer_s=0.005)
         self.ask(True, size, timeout_s=5.0)
         self.end(self.open[-1])
@@ -317,7 +318,7 @@
 
 
 def text_of(body: bytes) -> tuple[str, bool]:
-    """Returns the text of an answer, and whether it has its end."""
+    """Returns the text of a response and whether it is complete."""
     if not body.startswith(b"data:"):
         try:
             return json.loads(body)["choices"][0]["text"], True
--- a/tests/support/rawupstream.py
+++ b/tests/support/rawupstream.py
@@ -1,13 +1,18 @@
-"""An upstream that sends exactly the bytes a test gives it."""
+"""An upstream that sends exactly the bytes that a test specifies."""
 
 import socket
 import threading
 
 
 class RawUpstream:
-    """Answers each request on a connection with the next of its scripts.
+    """Responds to each request with the next of its scripts.
 
-    A script is the bytes of one answer; `CLOSE` at its end closes after it.
+    A script holds the bytes of one response. `CLOSE` at its end closes the
+    connection after them.
+
+    Attributes:
+        connections: The number of connections accepted so far.
+        requests: The heads of the requests received so far.
     """
 
     CLOSE = b"<close>"
