--- a/packages/daemon/bulrushdeald/answerpool.py
+++ b/packages/daemon/bulrushdeald/answerpool.py
@@ -1,4 +1,4 @@
-"""Threads that run the handlers of peers' requests, as many as are needed."""
+"""A thread pool for handlers of peers' requests, sized by demand."""
 
 import collections
 from collections.abc import Callable
@@ -8,78 +8,79 @@
 from bulrushdeal import logs
 
 _log = logs.Log("peers")
-# A thread that had nothing to do for so long ends.
+# A thread that gets no job for this long ends.
 IDLE_S = 10.0
-# Enough that one slow handler does not hold up its connection's others.
-AT_ONCE = 4
-# Requests of one connection that may wait for its turn.
-MAX_WAITING = 256
+# Requests of one connection that run at once; several, so that one slow
+# handler does not block the others.
+MAX_CONCURRENT = 4
+# Requests of one connection that may wait to run.
+MAX_QUEUED = 256
 
 Job = Callable[[], None]
 
 
 class Pool:
-    """Runs each job at once, on a thread that is free or a new one.
+    """Runs each job immediately, on an idle thread or a new one.
 
-    Its size is bounded by the connections, each of which runs at most
-    `AT_ONCE` jobs: threads of one connection never wait for another's.
+    The number of connections bounds the pool's size, since each runs at most
+    `MAX_CONCURRENT` jobs. Jobs of one connection never wait for another's.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._jobs: queue.SimpleQueue[Job] = queue.SimpleQueue()
-        # Threads that wait, less the jobs that are queued for them.
-        self._free = 0
+        # Waiting threads, minus the jobs already queued for them.
+        self._idle_threads = 0
 
     def run(self, job: Job) -> None:
-        """Runs a job, which raises nothing, on another thread."""
+        """Runs a job, which must not raise, on another thread."""
         with self._lock:
-            is_served = self._free > 0
-            if is_served:
-                self._free -= 1
-        if is_served:
+            has_idle_thread = self._idle_threads > 0
+            if has_idle_thread:
+                self._idle_threads -= 1
+        if has_idle_thread:
             self._jobs.put(job)
             return
         threading.Thread(
-            target=self._serve, args=(job,), name="answers", daemon=True
+            target=self._run_thread, args=(job,), name="answers", daemon=True
         ).start()
 
-    def _serve(self, job: Job) -> None:
-        found: Job | None = job
-        while found is not None:
-            found()
-            found = self._next()
+    def _run_thread(self, job: Job) -> None:
+        current: Job | None = job
+        while current is not None:
+            current()
+            current = self._next_job()
 
-    def _next(self) -> Job | None:
+    def _next_job(self) -> Job | None:
         with self._lock:
-            self._free += 1
+            self._idle_threads += 1
         try:
             return self._jobs.get(timeout=IDLE_S)
         except queue.Empty:
             with self._lock:
-                if self._free > 0:
-                    self._free -= 1
+                if self._idle_threads > 0:
+                    self._idle_threads -= 1
                     return None
-        # Every thread that waits has a job queued for it.
+        # Every waiting thread has a job queued for it.
         return self._jobs.get()
 
 
-class Turns:
-    """Runs the requests of one connection, some at once."""
+class RequestQueue:
+    """Runs the requests of one connection, `MAX_CONCURRENT` at once."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
         self._lock = threading.Lock()
         self._running = 0
-        self._waiting: collections.deque[Job] = collections.deque()
+        self._queued: collections.deque[Job] = collections.deque()
 
-    def take(self, job: Job) -> bool:
-        """Runs a job when it is its turn; false if too many wait."""
+    def submit(self, job: Job) -> bool:
+        """Runs or queues a job; returns false if the queue is full."""
         with self._lock:
-            if self._running >= AT_ONCE:
-                if len(self._waiting) >= MAX_WAITING:
+            if self._running >= MAX_CONCURRENT:
+                if len(self._queued) >= MAX_QUEUED:
                     return False
-                self._waiting.append(job)
+                self._queued.append(job)
                 return True
             self._running += 1
         self._pool.run(lambda: self._run(job))
@@ -89,10 +90,10 @@
         while True:
             try:
                 job()
-            except Exception:  # noqa: BLE001 - its turn has to end.
+            except Exception:  # noqa: BLE001 - the next job must run.
                 _log.exception("A request could not be answered.")
             with self._lock:
-                if not self._waiting:
+                if not self._queued:
                     self._running -= 1
                     return
-                job = self._waiting.popleft()
+                job = self._queued.popleft()
--- a/packages/daemon/bulrushdeald/links.py
+++ b/packages/daemon/bulrushdeald/links.py
@@ -1,4 +1,4 @@
-"""One client connection to a peer, shared by all threads that call it."""
+"""A client connection to a peer, shared by all threads that call it."""
 
 from collections.abc import Callable
 import itertools
@@ -13,11 +13,11 @@
 from bulrushdeald import websocket
 from bulrushdeald import wire
 
-_BROKEN = (websocket.BrokenError, codec.CodecError)
+_CONNECTION_ERRORS = (websocket.BrokenError, codec.CodecError)
 
 
 class Traffic:
-    """Counts messages and bytes each way."""
+    """Counts sent and received messages and bytes."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -50,10 +50,10 @@
 
 
 class Target(NamedTuple):
-    """Where a link leads.
+    """The peer that a link connects to.
 
     Attributes:
-        vm: The VM that has to answer; empty for whoever does.
+        vm: The VM that must be at the address; empty to accept any VM.
         address: `HOST:PORT`.
     """
 
@@ -61,8 +61,8 @@
     address: str
 
 
-class _Waiter:
-    """A call that waits for its answer."""
+class _PendingCall:
+    """A call that is waiting for its answer."""
 
     def __init__(self) -> None:
         self.done = threading.Event()
@@ -70,7 +70,7 @@
 
 
 class Link:
-    """A connection on a thread of its own, from connecting to its end."""
+    """A connection to a peer, opened and read by its own thread."""
 
     def __init__(
         self,
@@ -80,42 +80,42 @@
         on_end: Callable[["Link"], None],
     ) -> None:
         self.target = target
-        self.used_s = time.monotonic()
-        self.was_open = False
-        self.problem = ""
+        self.last_used_s = time.monotonic()
+        self.was_connected = False
+        self.failure = ""
         self._hello = hello
         self._traffic = traffic
         self._on_end = on_end
         self._ids = itertools.count(2)
         self._lock = threading.Lock()
-        self._waiters: dict[int, _Waiter] = {}
+        self._pending: dict[int, _PendingCall] = {}
         self._socket: websocket.Connection | None = None
-        self._settled = threading.Event()
+        self._connect_finished = threading.Event()
         self._has_ended = False
         self._thread = threading.Thread(
             target=self._run, name=f"peer {target.vm}", daemon=True
         )
 
     def start(self) -> None:
-        """Begins to connect."""
+        """Starts connecting."""
         self._thread.start()
 
-    def retire(self, idle_s: float) -> bool:
-        """Takes no more calls if nobody used the link for some time.
+    def retire_if_idle(self, idle_s: float) -> bool:
+        """Stops taking calls if the link has been unused for `idle_s`.
 
         Returns:
-            Whether it was idle; it is then to be closed.
+            Whether the link was idle; the caller must then close it.
         """
         with self._lock:
-            is_unused = time.monotonic() - self.used_s >= idle_s
-            if not is_unused or self._waiters:
+            is_unused = time.monotonic() - self.last_used_s >= idle_s
+            if not is_unused or self._pending:
                 return False
-            # A call that comes from now on is surely not sent.
+            # Later calls fail as unreachable, because they were not sent.
             self._has_ended = True
             return True
 
     def close(self) -> None:
-        """Ends the connection; calls that wait are told so."""
+        """Closes the connection; pending calls fail."""
         connection = self._socket
         if connection is not None:
             connection.close()
@@ -123,36 +123,37 @@
     def call(
         self, message: Any, timeout_s: float
     ) -> result.Result[wire.Frame, services.PeerError]:
-        """Sends a message and waits for the frame of its answer."""
+        """Sends a message and returns the frame of its answer."""
         deadline_s = time.monotonic() + timeout_s
-        if not self._settled.wait(timeout_s) or self._socket is None:
-            return self._unreachable(self.problem or "still connecting")
+        if not self._connect_finished.wait(timeout_s) or self._socket is None:
+            return self._unreachable(self.failure or "still connecting")
         request_id = next(self._ids)
-        waiter = _Waiter()
+        pending_call = _PendingCall()
         with self._lock:
             if self._has_ended:
                 return self._unreachable("the connection ended")
-            self._waiters[request_id] = waiter
-            self.used_s = time.monotonic()
+            self._pending[request_id] = pending_call
+            self.last_used_s = time.monotonic()
         try:
             data = wire.pack(request_id, message)
             self._traffic.sent(len(data))
             self._socket.send(data)
-        except _BROKEN as error:
-            # Part of the message may have left before the connection broke.
+        except _CONNECTION_ERRORS as error:
+            # Part of the message may have been sent before the connection
+            # broke, so the call may have taken effect.
             return result.Err(
                 services.PeerError("timeout", f"{self.target.vm}: {error!r}")
             )
         else:
-            waiter.done.wait(max(0.0, deadline_s - time.monotonic()))
+            pending_call.done.wait(max(0.0, deadline_s - time.monotonic()))
         finally:
             with self._lock:
-                self._waiters.pop(request_id, None)
-        if waiter.frame is None:
+                self._pending.pop(request_id, None)
+        if pending_call.frame is None:
             return result.Err(
                 services.PeerError("timeout", f"{self.target.vm}: no answer")
             )
-        return result.Ok(waiter.frame)
+        return result.Ok(pending_call.frame)
 
     def _unreachable(
         self, message: str
@@ -167,52 +168,52 @@
                 self.target.address, wire.MAX_FRAME_BYTES
             )
             try:
-                self._use(connection)
+                self._run_connection(connection)
             finally:
                 connection.release()
-        except _BROKEN as error:
-            self.problem = repr(error)
+        except _CONNECTION_ERRORS as error:
+            self.failure = repr(error)
         finally:
             self._end()
 
-    def _use(self, connection: websocket.Connection) -> None:
-        self._greet(connection)
+    def _run_connection(self, connection: websocket.Connection) -> None:
+        self._exchange_hellos(connection)
         self._socket = connection
-        self.was_open = True
-        self._settled.set()
+        self.was_connected = True
+        self._connect_finished.set()
         while (data := connection.receive()) is not None:
-            self._receive(data)
-        self.problem = "the peer closed the connection"
+            self._on_answer(data)
+        self.failure = "the peer closed the connection"
 
-    def _greet(self, connection: websocket.Connection) -> None:
+    def _exchange_hellos(self, connection: websocket.Connection) -> None:
         connection.send(wire.pack(1, self._hello))
         data = connection.receive()
         if data is None:
-            raise codec.CodecError("the peer does not greet")
+            raise codec.CodecError("the peer closed without a Hello")
         hello = codec.from_plain(wire.Hello, wire.unpack(data).fields)
-        # An address may belong to another VM by now, while the list lags;
-        # a call must never reach a VM that it was not meant for.
+        # While the list of VMs is out of date, the address may already belong
+        # to another VM. A call must never reach the wrong VM.
         if self.target.vm and hello.vm != self.target.vm:
-            raise codec.CodecError(f"{hello.vm} answers at this address")
-        connection.be_open()
+            raise codec.CodecError(f"the VM at this address is {hello.vm}")
+        connection.use_idle_timeout()
 
-    def _receive(self, data: bytes) -> None:
+    def _on_answer(self, data: bytes) -> None:
         self._traffic.received(len(data))
         frame = wire.unpack(data)
         with self._lock:
-            waiter = self._waiters.get(-frame.request_id)
-        # The answer to a call that was given up is dropped here; ids are
-        # never used twice on a connection, so it cannot reach another call.
-        if waiter is None:
+            pending_call = self._pending.get(-frame.request_id)
+        # A late answer to a call that timed out is dropped. Ids are unique on
+        # a connection, so it cannot be taken for another call's answer.
+        if pending_call is None:
             return
-        waiter.frame = frame
-        waiter.done.set()
+        pending_call.frame = frame
+        pending_call.done.set()
 
     def _end(self) -> None:
         with self._lock:
             self._has_ended = True
-            waiters = tuple(self._waiters.values())
-        for waiter in waiters:
-            waiter.done.set()
-        self._settled.set()
+            pending = tuple(self._pending.values())
+        for pending_call in pending:
+            pending_call.done.set()
+        self._connect_finished.set()
         self._on_end(self)
--- a/packages/daemon/bulrushdeald/peers.py
+++ b/packages/daemon/bulrushdeald/peers.py
@@ -1,4 +1,4 @@
-"""Typed calls between entry VMs, over `websockets` with CBOR."""
+"""Typed calls between entry VMs, as CBOR messages over websockets."""
 
 from collections.abc import Callable
 import functools
@@ -22,12 +22,12 @@
 from bulrushdeald import wire
 
 _log = logs.Log("peers")
-_MAX_LINKS = 128
-# Connections that nobody used for so long are closed.
+_MAX_OUTGOING_LINKS = 128
+# Connections without a call for this long are closed.
 IDLE_S = 60.0
-_SWEEP_S = 5.0
+_CLEANUP_INTERVAL_S = 5.0
 _BACKLOG = 512
-_ACCEPT_PAUSE_S = 0.1
+_ACCEPT_RETRY_S = 0.1
 _FIRST_BACKOFF_S = 0.1
 _MAX_BACKOFF_S = 2.0
 
@@ -35,39 +35,44 @@
 
 
 class PeerAddressError(errors.UserError):
-    """The peers' address cannot be listened on."""
+    """This VM cannot listen on its peers' address."""
 
 
 class _Backoff(NamedTuple):
-    """When a VM may be connected to again after failures."""
+    """The wait before the next connection attempt after failures.
+
+    Attributes:
+        failures: Failed attempts in a row, at most 10.
+        until_s: The end of the wait, by the monotonic clock.
+    """
 
     failures: int
     until_s: float
 
 
 class _Addresses(NamedTuple):
-    """The peers' addresses on one list of VMs."""
+    """The peers' addresses by VM, with the list that they were read from."""
 
     rows: tuple[records.Vm, ...]
     by_vm: dict[str, str]
 
 
 class PeerSettings(Protocol):
-    """What is set for calls between VMs."""
+    """The settings for calls between VMs."""
 
     @property
     def peers_address(self) -> str:
-        """Where this VM listens, as `HOST:PORT`."""
+        """The address to listen on, as `HOST:PORT`."""
 
 
 class WebsocketPeers:
     """See `services.Peers`.
 
-    Each process listens on its peers' address and opens a connection to a
-    peer when it first calls it, so a pair that calls both ways has two.
+    Each process listens on its peers' address and connects to a peer when it
+    first calls it. Two VMs that call each other have two connections.
 
     Args:
-        idle_s: After which a connection that nobody used is closed.
+        idle_s: Seconds without a call after which a connection is closed.
     """
 
     def __init__(
@@ -80,8 +85,8 @@
         self._idle_s = idle_s
         self._address = settings.peers_address
         self._handlers: dict[str, Handler] = {}
-        self._kinds = wire.Kinds()
-        self._kinds.add(wire.Hello, wire.Refused)
+        self._message_types = wire.MessageTypes()
+        self._message_types.add(wire.Hello, wire.Refused)
         self._traffic = links.Traffic()
         self._lock = threading.Lock()
         self._links: dict[str, links.Link] = {}
@@ -93,14 +98,14 @@
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Listens; fails if any process holds the address.
+        """Starts listening; fails if another process holds the address.
 
-        A process of the same VM that was replaced but still runs would act
-        for the VM besides this one. It holds the address until it ends, and
-        without `reuse_port` the address is held by one process only.
+        A replaced process of the same VM that still runs would act for the
+        VM alongside this one. It holds the address until it ends, and without
+        `reuse_port` only one process can hold it.
 
         Raises:
-            PeerAddressError: The address is held, or cannot be bound.
+            PeerAddressError: The address is in use or cannot be bound.
         """
         self._membership = self._kernel.find(
             services.MEMBERSHIP, services.Membership
@@ -118,21 +123,21 @@
             raise PeerAddressError(
                 f"--peers-address {self._address}: {error.strerror}"
             ) from error
-        for target in (self._listen, self._sweep):
+        for target in (self._run_accept_loop, self._run_cleanup):
             thread = threading.Thread(target=target, name="peers", daemon=True)
             thread.start()
             self._threads.append(thread)
 
     @property
     def port(self) -> int:
-        """The port it listens on, known after `start`."""
+        """The port that the server listens on, known after `start`."""
         port: int = self._listener.getsockname()[1]
         return port
 
     def stop(self, grace_s: float) -> None:
-        """Closes all connections and the address."""
+        """Stops listening and closes all connections."""
         self._stopping.set()
-        # Wakes the thread that accepts, which a mere close would not.
+        # Wakes the accepting thread; closing the socket alone would not.
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         with self._lock:
@@ -146,7 +151,7 @@
             thread.join(grace_s)
 
     def dump(self) -> Any:
-        """Returns connections and traffic."""
+        """Returns the state of the connections and the traffic counters."""
         with self._lock:
             return {
                 "links": sorted(self._links),
@@ -157,26 +162,28 @@
 
     def handle(self, kind: type[Any], handler: Handler) -> None:
         """See `services.Peers`."""
-        self._kinds.add(kind)
+        self._message_types.add(kind)
         self._handlers[kind.__name__] = handler
 
     def understand(self, *kinds: type[Any]) -> None:
         """See `services.Peers`."""
-        self._kinds.add(*kinds)
+        self._message_types.add(*kinds)
 
     def call(
         self, vm: str, message: Any, timeout_s: float
     ) -> result.Result[Any, services.PeerError]:
         """See `services.Peers`."""
         if vm == self._hello.vm:
-            return self._open(self._answer(vm, _copy(message)))
+            return self._to_result(
+                self._run_handler(vm, _copy_through_codec(message))
+            )
         address = self._peer_address(vm)
         return self._call(vm, links.Target(vm, address), message, timeout_s)
 
     def call_address(
         self, address: str, message: Any, timeout_s: float
     ) -> result.Result[Any, services.PeerError]:
-        """Calls whichever VM listens on an address, known from settings."""
+        """Calls whichever VM listens on an address, such as a seed's."""
         target = links.Target("", address)
         return self._call(f"@{address}", target, message, timeout_s)
 
@@ -186,17 +193,22 @@
         link = self._link(name, target)
         if link is None:
             return result.Err(
-                services.PeerError("unreachable", f"{name}: not now")
+                services.PeerError(
+                    "unreachable",
+                    f"{name}: no connection, and none may be opened now",
+                )
             )
         answer = link.call(message, timeout_s)
         if answer.is_err():
             return result.Err(answer.unwrap_err())
         try:
-            return self._open(self._kinds.message(answer.unwrap()))
+            return self._to_result(self._message_types.decode(answer.unwrap()))
         except codec.CodecError as error:
             return result.Err(services.PeerError("refused", f"{name}: {error}"))
 
-    def _open(self, message: Any) -> result.Result[Any, services.PeerError]:
+    def _to_result(
+        self, message: Any
+    ) -> result.Result[Any, services.PeerError]:
         if isinstance(message, wire.Refused):
             return result.Err(services.PeerError("refused", message.message))
         return result.Ok(message)
@@ -205,14 +217,16 @@
         now_s = time.monotonic()
         with self._lock:
             link = self._links.get(name)
-            # A VM that was replaced under its name has another address.
+            # A replacement VM of the same name has another address.
             if link is not None and link.target == target:
                 return link
             backoff = self._backoffs.get(name)
             is_backing_off = backoff is not None and now_s < backoff.until_s
             if not target.address or is_backing_off or self._is_stopped():
                 return None
-            if len(self._links) >= _MAX_LINKS and not self._drop_idle(0.0):
+            if len(self._links) >= _MAX_OUTGOING_LINKS and not self._close_idle(
+                0.0
+            ):
                 return None
             link = links.Link(
                 target,
@@ -229,7 +243,7 @@
 
     def _peer_address(self, vm: str) -> str:
         rows = self._membership.entry_vms()
-        # A search through 1,200 rows took 0.09 ms for each call.
+        # Indexed, as a search through 1,200 rows took 0.09 ms for each call.
         if rows is not self._addresses.rows:
             found = {row.vm: row.peer_address for row in rows}
             self._addresses = _Addresses(rows, found)
@@ -240,102 +254,112 @@
             if self._links.get(name) is link:
                 del self._links[name]
             failures = 0
-            if not link.was_open and name in self._backoffs:
+            if not link.was_connected and name in self._backoffs:
                 failures = self._backoffs[name].failures
-            # Spread, so that peers do not all come back at one moment.
+            # Jitter, so that peers do not all reconnect at the same moment.
             wait_s = min(_FIRST_BACKOFF_S * 2**failures, _MAX_BACKOFF_S)
             wait_s *= random.uniform(0.5, 1.0)
             self._backoffs[name] = _Backoff(
                 min(failures + 1, 10), time.monotonic() + wait_s
             )
-        if not link.was_open:
-            _log.debug("No connection to %s: %s", name, link.problem)
+        if not link.was_connected:
+            _log.debug("No connection to %s: %s", name, link.failure)
+
+    def _close_idle(self, for_s: float) -> bool:
+        """Closes links unused for `for_s`.
 
-    def _drop_idle(self, for_s: float) -> bool:
-        """Closes idle links, only the one unused longest if `for_s` is 0."""
-        by_use = sorted(self._links, key=lambda name: self._links[name].used_s)
+        If `for_s` is 0, closes only the least recently used idle link.
+
+        Returns:
+            Whether a link was closed.
+        """
+        least_recent_first = sorted(
+            self._links, key=lambda name: self._links[name].last_used_s
+        )
         dropped = 0
-        for name in by_use:
+        for name in least_recent_first:
             if for_s == 0.0 and dropped:
                 break
             link = self._links[name]
-            if link.retire(for_s):
+            if link.retire_if_idle(for_s):
                 del self._links[name]
                 dropped += 1
                 threading.Thread(target=link.close, daemon=True).start()
         return dropped > 0
 
-    def _sweep(self) -> None:
-        while not self._stopping.wait(_SWEEP_S):
+    def _run_cleanup(self) -> None:
+        while not self._stopping.wait(_CLEANUP_INTERVAL_S):
             now_s = time.monotonic()
             with self._lock:
-                self._drop_idle(self._idle_s)
+                self._close_idle(self._idle_s)
                 self._backoffs = {
                     vm: backoff
                     for vm, backoff in self._backoffs.items()
                     if now_s < backoff.until_s + self._idle_s
                 }
 
-    def _listen(self) -> None:
+    def _run_accept_loop(self) -> None:
         while not self._is_stopped():
             try:
                 connected, _ = self._listener.accept()
             except OSError as error:
-                # Too many files are open, or the peer has left again.
+                # Too many files are open, or the peer has already disconnected.
                 if not self._is_stopped():
                     _log.warning("Cannot accept a peer: %r", error)
-                    self._stopping.wait(_ACCEPT_PAUSE_S)
+                    self._stopping.wait(_ACCEPT_RETRY_S)
                 continue
             threading.Thread(
-                target=self._accept,
+                target=self._run_connection,
                 args=(connected,),
                 name="peer accepted",
                 daemon=True,
             ).start()
 
-    def _accept(self, connected: socket.socket) -> None:
+    def _run_connection(self, connected: socket.socket) -> None:
         try:
             connection = websocket.accept(connected, wire.MAX_FRAME_BYTES)
         except websocket.BrokenError as error:
-            _log.debug("What came is no peer: %s", error)
+            _log.debug("Rejected an incoming connection: %s", error)
             return
         with self._lock:
             self._accepted.add(connection)
         try:
             if not self._is_stopped():
-                self._serve(connection)
+                self._answer_requests(connection)
         except (websocket.BrokenError, codec.CodecError) as error:
-            _log.debug("A peer's connection ended: %r", error)
+            _log.debug("An accepted connection broke: %r", error)
         finally:
             with self._lock:
                 self._accepted.discard(connection)
             connection.release()
 
-    def _serve(self, connection: websocket.Connection) -> None:
+    def _answer_requests(self, connection: websocket.Connection) -> None:
         data = connection.receive()
         if data is None:
             return
         frame = wire.unpack(data)
         hello = codec.from_plain(wire.Hello, frame.fields)
         connection.send(wire.pack(-frame.request_id, self._hello))
-        connection.be_open()
-        turns = answerpool.Turns(self._pool)
+        connection.use_idle_timeout()
+        requests = answerpool.RequestQueue(self._pool)
         while (data := connection.receive()) is not None:
             self._traffic.received(len(data))
             request = wire.unpack(data)
-            job = functools.partial(self._reply, connection, hello.vm, request)
+            job = functools.partial(
+                self._answer_request, connection, hello.vm, request
+            )
             handler = self._handlers.get(request.kind)
             if isinstance(handler, services.QuickHandler):
                 job()
-            elif not turns.take(job):
-                busy = wire.Refused("too many requests wait")
-                self._send(connection, hello.vm, -request.request_id, busy)
+            elif not requests.submit(job):
+                refusal = wire.Refused("too many requests are waiting")
+                self._send(connection, hello.vm, -request.request_id, refusal)
 
-    def _reply(
+    def _answer_request(
         self, connection: websocket.Connection, vm: str, frame: wire.Frame
     ) -> None:
         try:
-            answer = self._answer(vm, self._kinds.message(frame))
+            answer = self._run_handler(vm, self._message_types.decode(frame))
         except codec.CodecError as error:
             answer = wire.Refused(str(error))
         self._send(connection, vm, -frame.request_id, answer)
@@ -352,13 +376,13 @@
         try:
             connection.send(data)
         except websocket.BrokenError as error:
-            _log.debug("An answer to %s was lost: %s", vm, error)
+            _log.debug("Cannot send an answer to %s: %s", vm, error)
 
-    def _answer(self, vm: str, message: Any) -> Any:
+    def _run_handler(self, vm: str, message: Any) -> Any:
         name = type(message).__name__
         handler = self._handlers.get(name)
         if handler is None:
-            return wire.Refused(f"nobody handles {name}")
+            return wire.Refused(f"no handler for {name}")
         try:
             return handler(vm, message)
         except Exception as error:  # noqa: BLE001 - the caller gets an answer.
@@ -366,6 +390,6 @@
             return wire.Refused(repr(error))
 
 
-def _copy(message: Any) -> Any:
+def _copy_through_codec(message: Any) -> Any:
     frame = wire.unpack(wire.pack(1, message))
     return codec.from_plain(type(message), frame.fields)
--- a/packages/daemon/bulrushdeald/services.py
+++ b/packages/daemon/bulrushdeald/services.py
@@ -1,8 +1,8 @@
-"""The names that services register under, and the types they offer.
+"""Names and interfaces of the daemon's services.
 
-A service knows the others only through these `Protocol` types and finds
-them by name in the kernel. Each operation that can fail returns a `Result`
-whose error belongs to that service's layer.
+Services look each other up by name in the kernel and depend on these
+`Protocol` types. An operation that can fail returns a `Result` with an error
+type of its own service's layer.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -31,7 +31,7 @@
 
 
 class Entry(NamedTuple):
-    """One key of the platform's key-value service; see `KeyValue`."""
+    """A key of the platform's key-value service with its value."""
 
     key: str
     value: bytes
@@ -39,15 +39,16 @@
 
 
 class KeyValueError(NamedTuple):
-    """A call to the platform's key-value service that did not succeed.
+    """A failed call to the platform's key-value service.
 
     Attributes:
-        kind: `conflict`: the key has another revision, given in `current`.
-            `unavailable`: no answer, and the call had no effect or was only
-            a read. `unknown`: a write may or may not have taken effect,
-            and reading back did not settle it.
-        message: For the log.
-        current: What the key holds, on a conflict; `None` if nothing.
+        kind: `conflict`: the key does not have the expected revision.
+            `unavailable`: the service did not answer, and the call had no
+            effect or was only a read. `unknown`: a write may or may not have
+            taken effect, and reading the key back did not show which.
+        message: Text for the log.
+        current: On a conflict, the key's current entry; `None` if the key
+            does not exist.
     """
 
     kind: Literal["conflict", "unavailable", "unknown"]
@@ -56,24 +57,25 @@
 
 
 class KeyValue(Protocol):
-    """The platform's key-value service: what must last is kept here.
+    """Durable storage in the platform's key-value service.
 
-    Revisions are one counter over the whole service. Each call has a
-    timeout. A write whose answer was lost is settled by reading back.
+    All keys share one revision counter. Each call has a timeout. If the
+    answer to a write is lost, reading the key back shows whether the write
+    took effect.
     """
 
     def get(self, key: str) -> result.Result[Entry | None, KeyValueError]:
-        """Returns what a key holds, `None` if nothing."""
+        """Returns the entry of a key, or `None` if the key does not exist."""
 
     def list(
         self, prefix: str
     ) -> result.Result[tuple[Entry, ...], KeyValueError]:
-        """Returns the keys that begin with `prefix`, in order."""
+        """Returns the entries whose keys begin with `prefix`, by key."""
 
     def put(
         self, key: str, value: bytes, expected_revision: int
     ) -> result.Result[int, KeyValueError]:
-        """Writes if the key's revision is as expected, 0 if it is absent.
+        """Writes a key if it has the expected revision, 0 for an absent key.
 
         Returns:
             The new revision.
@@ -82,48 +84,48 @@
     def delete(
         self, key: str, expected_revision: int
     ) -> result.Result[None, KeyValueError]:
-        """Deletes the key if its revision is as expected."""
+        """Deletes a key if it has the expected revision."""
 
     def watch(
         self, prefix: str, after_revision: int, timeout_s: float
     ) -> result.Result[tuple[Entry, ...], KeyValueError]:
-        """Waits for keys under `prefix` changed after a revision.
+        """Waits until a key under `prefix` changes after a revision.
 
         Returns:
-            The keys that changed, as they are now; none on a timeout.
+            The current entries of the changed keys; empty on a timeout.
         """
 
 
 class Membership(Protocol):
-    """Which VMs there are, from the platform's lagging list."""
+    """The known VMs, from the platform's list, which may be out of date."""
 
     def own(self) -> records.Vm:
-        """Returns this process's own row, made from its settings."""
+        """Returns this VM's own row, built from the settings."""
 
     def incarnation(self) -> str:
-        """Returns a random name of this run of the process."""
+        """Returns a random identifier of this run of the process."""
 
     def entry_vms(self) -> tuple[records.Vm, ...]:
-        """Returns the entry VMs listed last, with this one, by name."""
+        """Returns the entry VMs of the latest list and this VM, by name."""
 
     def is_listed(self, vm: str) -> bool:
-        """Tells whether the platform lists a VM, so it may still run.
+        """Returns whether a VM may still run, as far as the list shows.
 
-        Before a list was ever read every VM counts as listed.
+        Every VM counts as listed until a list has been read.
         """
 
     def is_leaving(self, vm: str) -> bool:
-        """Tells whether a VM is to be given no new work."""
+        """Returns whether a VM is leaving and must get no new work."""
 
 
 class PeerError(NamedTuple):
-    """A call to a peer that brought no answer.
+    """A call to a peer that returned no answer.
 
     Attributes:
         kind: `unreachable`: the call was never sent. `timeout`: it was sent
-            and may have taken effect. `refused`: the peer has no handler
-            for it, or the handler failed.
-        message: For the log.
+            and may have taken effect. `refused`: the peer has no handler for
+            the message, the handler failed, or too many requests waited.
+        message: Text for the log.
     """
 
     kind: Literal["unreachable", "timeout", "refused"]
@@ -131,10 +133,10 @@
 
 
 class QuickHandler:
-    """A handler that only computes, for no longer than it takes to read.
+    """A handler that does not block and runs no longer than a read takes.
 
-    It runs on the thread that reads its connection and saves the way to
-    another, a sixth of a call's processor time.
+    It runs on the thread that reads the connection. Handing the request to
+    another thread would take a sixth of a call's processor time.
     """
 
     def __init__(self, handler: Callable[[str, Any], Any]) -> None:
@@ -146,35 +148,38 @@
 
 
 class Peers(Protocol):
-    """Typed calls between entry VMs; see `peers` for the wire."""
+    """Typed calls between entry VMs; `peers` implements the protocol."""
 
     def handle(
         self, kind: type[Any], handler: Callable[[str, Any], Any]
     ) -> None:
-        """Answers messages of a `NamedTuple` type.
+        """Registers the handler for messages of a `NamedTuple` type.
 
-        The handler gets the calling VM's name and the message, and returns
-        the answer, a `NamedTuple`. A few run at once for each connection,
-        so it must not wait for other peers. A `QuickHandler` holds up all
-        that comes over its connection.
+        The handler receives the calling VM's name and the message, and
+        returns the answer, a `NamedTuple`. Only a few handlers run at once
+        for each connection, so a handler must not wait for other peers. A
+        `QuickHandler` blocks its whole connection while it runs.
         """
 
     def understand(self, *kinds: type[Any]) -> None:
-        """Lets answers of these `NamedTuple` types be unpacked."""
+        """Registers `NamedTuple` types that may arrive as answers."""
 
     def call(
         self, vm: str, message: Any, timeout_s: float
     ) -> result.Result[Any, PeerError]:
-        """Sends a message and returns the answer; calls itself directly."""
+        """Sends a message and returns the answer.
+
+        A call to this VM itself runs the handler directly.
+        """
 
 
 class ConfigError(NamedTuple):
-    """The operators' configuration does not allow a thing.
+    """A request that the configuration on this VM does not allow.
 
     Attributes:
         kind: `not_ready`: this VM has no configuration yet.
-            `unknown_key`: no such key, or it was withdrawn.
-        message: For the caller.
+            `unknown_key`: the key does not exist or was withdrawn.
+        message: Text for the caller.
     """
 
     kind: Literal["not_ready", "unknown_key"]
@@ -182,60 +187,61 @@
 
 
 class Principal(NamedTuple):
-    """Whom a request runs for: the customer its key belongs to."""
+    """The customer that a request authenticated as, and its key's hash."""
 
     customer: records.Customer
     key_hash: str
 
 
 class Config(Protocol):
-    """The configuration in force on this VM; it never reverts."""
+    """The configuration in force on this VM; it never goes back."""
 
     def revision(self) -> int:
-        """Returns the newest revision in force, 0 if there is none yet."""
+        """Returns the newest revision in force, or 0 before the first."""
 
     def customer(self, customer: str) -> records.Customer | None:
-        """Returns a customer's row."""
+        """Returns a customer's row, or `None` if there is none."""
 
     def customers(self) -> tuple[records.Customer, ...]:
-        """Returns all rows by name."""
+        """Returns all customers' rows, by name."""
 
     def opening(self, customer: str) -> records.Opening | None:
-        """Returns what a customer made lately begins with."""
+        """Returns the initial tokens of a recently created customer."""
 
     def authenticate(self, key: str) -> result.Result[Principal, ConfigError]:
-        """Returns whom a caller's key belongs to."""
+        """Returns the principal that a caller's key belongs to."""
 
     def is_withdrawn(self, key_hash: str) -> bool:
-        """Tells whether a key has been withdrawn."""
+        """Returns whether a key has been withdrawn."""
 
     def upstreams(self) -> tuple[records.Upstream, ...]:
-        """Returns all upstreams by name; the same tuple until a change."""
+        """Returns all upstreams by name; the same object until a change."""
 
     def models(self) -> frozenset[str]:
-        """Returns the models that some engine serves."""
+        """Returns the models that at least one engine serves."""
 
     def plain_services(self) -> frozenset[str]:
-        """Returns the names of the plain services that there are."""
+        """Returns the names of all plain services."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Calls back, on the feed's thread, after each change in force.
+        """Registers a callback that runs after each configuration change.
 
-        A withdrawn key ends its open streams through this.
+        It runs on the feed's thread. Open streams of a withdrawn key are
+        ended by such a callback.
         """
 
 
 class Refusal(NamedTuple):
-    """The final answer to a request that this system does not serve.
+    """The final answer to a request that is refused or has failed.
 
     Attributes:
         status: The HTTP status.
-        code: A word for programs, such as `rate_limited`.
-        message: For people.
-        ran: Whether the request ran at an upstream; `not_run` is only said
-            when no byte of it can have left for one.
-        retry_after_s: When to come back; 0 if that does not help.
-        field: The field or line that is wrong, for bad input.
+        code: A machine-readable code, such as `rate_limited`.
+        message: Text for people.
+        ran: Whether the request ran at an upstream; `not_run` only if no
+            byte of it can have been sent to one.
+        retry_after_s: Seconds after which to retry; 0 if a retry is useless.
+        field: For bad input, the wrong field or line.
     """
 
     status: int
@@ -247,42 +253,44 @@
 
 
 class Limits(Protocol):
-    """Each customer's rate and burst over all VMs together."""
+    """Enforces each customer's rate and burst across all VMs."""
 
     def is_ready(self) -> bool:
-        """Tells whether this VM knows whom to ask for tokens."""
+        """Returns whether this VM can find the VMs that grant tokens."""
 
     def opening(self, row: records.Customer) -> records.Opening | None:
-        """Returns what a row that is about to be made may begin with.
+        """Returns the initial tokens of a row that is about to be created.
 
-        Only for a name that never had a key. `None` if the record that it
-        depends on cannot be read or written now: the row begins empty.
+        Only for a name that never had a key. Returns `None` if the record
+        that this depends on cannot be read or written now; the row then
+        starts without tokens.
         """
 
     def take(
         self, customer: str, count: float = 1.0
     ) -> result.Result[None, Refusal]:
-        """Takes `count` from what the row allows, at once or not at all.
+        """Takes `count` tokens of a customer, or none at all.
 
-        May ask peers, for some milliseconds; never waits for a refill.
+        May ask peers, which takes some milliseconds, but never waits for
+        the customer's tokens to be refilled.
         """
 
 
 class Work(NamedTuple):
-    """What the router needs to know to place a request.
+    """The properties of a request that the router uses to place it.
 
     Attributes:
-        customer: Whom it runs for.
-        work_class: Online work is placed at once; batch yields to it.
-        model: The model, for an engine; empty for a plain service.
-        service: The plain service; empty for an engine.
+        customer: The customer that the request runs for.
+        work_class: Online or batch; batch work yields to online work.
+        model: The model for a request to an engine, else empty.
+        service: The plain service for a request to one, else empty.
         prompt_prefix: The beginning of the prompt, for cache affinity.
         expected_tokens: Prompt and answer together, for fairness.
-        fingerprint: Hash of customer and body; requests that crash
-            upstreams are known by it.
-        deadline_s: Seconds from now after which an answer is of no use.
-        resumes_at: The upstream where a batch item yielded and may go on
-            from where it stood; empty if there is none.
+        fingerprint: Hash of customer and body, which identifies requests
+            that crash upstreams.
+        deadline_s: Seconds from now after which an answer is useless.
+        resumes_at: The upstream where a batch item yielded and can resume;
+            empty if there is none.
     """
 
     customer: str
@@ -297,51 +305,55 @@
 
 
 class Slot(Protocol):
-    """A place on one upstream, held while a request runs there."""
+    """Capacity for one request on an upstream, held while it runs."""
 
     @property
     def upstream(self) -> records.Upstream:
-        """Where the request is to be sent."""
+        """The upstream to send the request to."""
 
     def on_yield(self, callback: Callable[[], None]) -> None:
-        """Calls back once when batch work has to give the slot up.
+        """Registers a callback for when batch work must give the slot up.
 
-        The callback runs on another thread; it cancels the stream.
+        The callback runs at most once, on another thread, and cancels the
+        stream.
         """
 
     def release(self, outcome: "Outcome") -> None:
-        """Gives the slot back and says how it went; only once."""
+        """Returns the slot with the request's outcome; call it only once."""
 
 
 Outcome = Literal["ok", "refused", "crashed", "yielded", "cancelled"]
 
 
 class Router(Protocol):
-    """Chooses an upstream and keeps online work ahead of batch."""
+    """Chooses upstreams and gives online work priority over batch."""
 
     def acquire(self, work: Work) -> result.Result[Slot, Refusal]:
-        """Returns a slot, or the final refusal with when to come back.
+        """Returns a slot, or the final refusal with the time to retry.
 
-        Online work waits in its own queue, bounded by its deadline. Batch
-        work waits for a slot that online work leaves, at most the deadline.
+        Online work waits in its own queue until its deadline. Batch work
+        waits for a slot that online work does not need, also until its
+        deadline.
         """
 
     def batch_slots(self, model: str) -> int:
-        """Returns how many batch items of a model could start here now.
+        """Returns how many batch items of a model this VM could start now.
 
-        Only a few VMs may place batch work on an upstream, so a VM on which
-        this is 0 should not ask for work of the model.
+        Only a few VMs may place batch work on an upstream, so a VM for which
+        this is 0 should not claim items of the model.
         """
 
 
 class UpstreamError(NamedTuple):
-    """An upstream brought no whole answer.
+    """A request to an upstream without a complete answer.
 
     Attributes:
-        kind: How it failed; `crashed` is a connection that broke after the
-            request was sent, `timeout` a silence, `cancelled` our own end.
-        ran: Whether the request ran there.
-        message: For the log.
+        kind: `unreachable`: no connection was made. `crashed`: the
+            connection broke after the request was sent, or the answer was
+            unusable. `timeout`: the upstream was silent for too long.
+            `cancelled`: this VM ended the request.
+        ran: Whether the request ran at the upstream.
+        message: Text for the log.
     """
 
     kind: Literal["unreachable", "crashed", "timeout", "cancelled"]
@@ -350,7 +362,7 @@
 
 
 class UpstreamAnswer(Protocol):
-    """The head of an upstream's answer and its body as it comes."""
+    """An upstream's answer: its head, and its body as a stream."""
 
     @property
     def status(self) -> int:
@@ -358,23 +370,23 @@
 
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
-        """The headers without those that belong to one connection."""
+        """The headers, without those that apply to one connection."""
 
     def chunks(self) -> Iterator[result.Result[bytes, UpstreamError]]:
-        """Yields the body; an error is the last thing it yields."""
+        """Yields the body in pieces; an error ends it."""
 
     def allow_silence(self, timeout_s: float) -> None:
-        """Sets the longest silence in the rest of the body."""
+        """Sets the read timeout for the rest of the body, in seconds."""
 
     def cancel(self) -> None:
         """Ends a blocked read at once, from any thread; idempotent."""
 
     def close(self) -> None:
-        """Gives the connection back, or drops it if bytes are left."""
+        """Returns the connection to its pool, or drops it if unread."""
 
 
 class Upstreams(Protocol):
-    """HTTP towards upstreams; sends each request once, never again."""
+    """HTTP client for upstreams; it never retries a request."""
 
     def send(
         self,
@@ -391,34 +403,34 @@
         """Sends a request and waits for the head of the answer.
 
         Args:
-            upstream: Where to.
-            method: In capitals.
-            path: With the query.
-            headers: Without any that holds the caller's key.
+            upstream: The upstream to send to.
+            method: The HTTP method, in capitals.
+            path: The path with the query.
+            headers: The headers, without any that holds the caller's key.
             body: The whole body, or its pieces; an iterator that raises
                 ends the request as cancelled.
             timeout_s: The longest silence, before the head and in the body.
-            is_fresh: Whether to open a connection for this request alone. A
-                kept one may be closed by the upstream just as it is used,
-                and then nobody knows whether the request ran.
-            on_open: Is handed a function that cancels the call at once from
-                any thread, as soon as the connection is open; `Slot.on_yield`
-                fits here.
+            is_fresh: Whether to open a new connection for this request. The
+                upstream may close a kept connection just as it is used, and
+                then it is unknown whether the request ran.
+            on_open: Called as soon as the connection is open, with a
+                function that cancels the call at once from any thread;
+                `Slot.on_yield` can be passed here.
         """
 
 
 class UsageEvent(NamedTuple):
-    """One request or batch item that was answered.
+    """A request or batch item that was answered.
 
     Attributes:
-        wall_s: When, in seconds since the epoch.
-        customer: Whom it ran for, or whose key it came with.
+        wall_s: The time, in seconds since the epoch.
+        customer: The customer it ran for, or whose key it came with.
         work_class: Online or batch.
-        upstream: Where it ran; empty if it did not.
+        upstream: The upstream it ran on; empty if it did not run.
         model: The model or plain service.
         outcome: `ok`, or the refusal's code.
-        prompt_tokens: As the engine counted.
-        completion_tokens: As the engine counted.
+        prompt_tokens: Tokens of the prompt, as counted by the engine.
+        completion_tokens: Tokens of the answer, as counted by the engine.
     """
 
     wall_s: float
@@ -432,19 +444,20 @@
 
 
 class Usage(Protocol):
-    """What the system did, for the reports."""
+    """Counts answered requests for the usage reports."""
 
     def record(self, event: UsageEvent) -> None:
-        """Counts one event; never blocks on anything outside."""
+        """Counts one event; never waits for the network or a disk."""
 
 
 class StoreError(NamedTuple):
-    """A bulk store did not do as asked.
+    """A failed call to a bulk store.
 
     Attributes:
-        kind: `unavailable`: no answer. `missing`: no such object.
-            `fenced`: a newer epoch was seen. `full`: no space left.
-        message: For the log.
+        kind: `unavailable`: the store did not answer. `missing`: the object
+            does not exist. `fenced`: the store has seen a newer epoch.
+            `full`: no space is left.
+        message: Text for the log.
     """
 
     kind: Literal["unavailable", "missing", "fenced", "full"]
@@ -455,28 +468,29 @@
 
 
 class CallerRoutes(Protocol):
-    """The callers' HTTP server, to which services add their paths.
+    """The callers' HTTP server, to which services add their routes.
 
-    A service adds its routes in its own `start`; the server itself is
-    registered in the kernel before but listens only when all have started.
+    A service adds its routes in its own `start`. The server is registered
+    in the kernel earlier, but listens only after all services have started.
     """
 
     def route(
         self, method: str, path: str, handler: CallerHandler, bulk: bool
     ) -> None:
-        """Serves a path, after the caller's key was checked.
+        """Adds a route; its handler runs after the caller's key is checked.
 
         Args:
-            method: In capitals, or `*` for any.
+            method: The HTTP method in capitals, or `*` for any.
             path: The exact path, or a prefix if it ends in `/`.
             handler: Called on the connection's thread.
-            bulk: Whether it may be slow; bulk requests get only a bounded
-                share of the threads, so online callers never wait for them.
+            bulk: Whether the handler may be slow. Bulk requests get only a
+                bounded share of the threads, so that online callers never
+                wait for them.
         """
 
 
 class OperatorRoutes(Protocol):
-    """The operators' HTTP server, to which services add their paths."""
+    """The operators' HTTP server, to which services add their routes."""
 
     def route(self, method: str, path: str, handler: httpd.Handler) -> None:
-        """Serves a path, after the operator's credential was checked."""
+        """Adds a route; its handler runs after the credential is checked."""
--- a/packages/daemon/bulrushdeald/wire.py
+++ b/packages/daemon/bulrushdeald/wire.py
@@ -1,7 +1,8 @@
-"""The frames between entry VMs: `[id, kind, fields]` in CBOR.
+"""Frames between entry VMs: `[id, kind, fields]`, encoded as CBOR.
 
-A request has a positive id and its answer the same id negated. The first
-request of a connection is a `Hello`, answered by the other side's `Hello`.
+A request has a positive id, and its answer has the same id negated. The
+first request on a connection is a `Hello`, and its answer is the other end's
+`Hello`.
 """
 
 from typing import Any, NamedTuple
@@ -11,12 +12,13 @@
 from bulrushdeal import codec
 
 _FRAME_FIELDS = 3
-# A page of customers may be as large as a value of the platform's.
+# A page of customers can be as large as a value in the platform's
+# key-value service.
 MAX_FRAME_BYTES = 4_000_000
 
 
 class Hello(NamedTuple):
-    """Who is at one end of a connection."""
+    """Identifies the VM at one end of a connection."""
 
     vm: str
     incarnation: str
@@ -35,7 +37,7 @@
     Attributes:
         request_id: Positive for a request, negative for its answer.
         kind: The message type's name.
-        fields: The message's fields, not checked yet.
+        fields: The message's fields, not validated yet.
     """
 
     request_id: int
@@ -43,53 +45,53 @@
     fields: Any
 
 
-class Kinds:
-    """Knows the message types that may arrive, by name."""
+class MessageTypes:
+    """The message types that may arrive, by name."""
 
     def __init__(self) -> None:
-        self._kinds: dict[str, type[Any]] = {}
+        self._types: dict[str, type[Any]] = {}
 
     def add(self, *kinds: type[Any]) -> None:
-        """Lets messages of these `NamedTuple` types be unpacked."""
+        """Registers `NamedTuple` types whose messages may arrive."""
         for kind in kinds:
-            known = self._kinds.setdefault(kind.__name__, kind)
+            known = self._types.setdefault(kind.__name__, kind)
             if known is not kind:
-                raise ValueError(f"two messages are named {kind.__name__}")
+                raise ValueError(f"two message types are named {kind.__name__}")
 
-    def message(self, frame: Frame) -> Any:
-        """Returns the message in a frame.
+    def decode(self, frame: Frame) -> Any:
+        """Returns the validated message of a frame.
 
         Raises:
-            codec.CodecError: An unknown type or a wrong field.
+            codec.CodecError: The type is unknown or a field is invalid.
         """
-        kind = self._kinds.get(frame.kind)
+        kind = self._types.get(frame.kind)
         if kind is None:
-            raise codec.CodecError(f"unknown message {frame.kind!r}")
+            raise codec.CodecError(f"unknown message type {frame.kind!r}")
         return codec.from_plain(kind, frame.fields)
 
 
 def pack(request_id: int, message: Any) -> bytes:
-    """Returns the frame of a message."""
+    """Returns the encoded frame of a message."""
     return cbor2.dumps(
         [request_id, type(message).__name__, codec.to_array(message)]
     )
 
 
 def unpack(data: bytes | str) -> Frame:
-    """Returns the frame in `data`.
+    """Decodes a frame.
 
     Raises:
-        codec.CodecError: Not a frame.
+        codec.CodecError: `data` is not a valid frame.
     """
     if isinstance(data, str):
-        raise codec.CodecError("a text frame")
+        raise codec.CodecError("expected a binary frame, got text")
     try:
         frame = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError) as error:
         raise codec.CodecError(f"not a frame: {error}") from error
     if not isinstance(frame, list) or len(frame) != _FRAME_FIELDS:
-        raise codec.CodecError("not a frame")
+        raise codec.CodecError("not a frame: expected an array of 3 items")
     request_id, kind, fields = frame
     if type(request_id) is not int or type(kind) is not str:
-        raise codec.CodecError("not a frame")
+        raise codec.CodecError("not a frame: wrong type of id or kind")
     return Frame(request_id, kind, fields)
--- a/tests/daemon/test_peers.py
+++ b/tests/daemon/test_peers.py
@@ -1,9 +1,8 @@
-"""Calls between VMs when answers are late, crossed, or never come.
+"""Tests calls between VMs whose answers are late, reordered or lost.
 
-Story: a VM asks a peer for a share and gives the call up. The answer comes
-while the next call waits, and is taken for that call's own: two customers'
-shares are swapped. Or a VM was replaced, its address now belongs to another
-one, and a call reaches a VM that it was not meant for.
+They guard against a late answer being taken for the answer to the next call,
+which would swap two customers' shares, and against a call reaching the wrong
+VM after its address was given to another one.
 """
 
 from concurrent import futures
@@ -62,13 +61,13 @@
     ]
 
 
-def test_answers_that_cross_reach_their_own_calls() -> None:
+def test_concurrent_calls_get_their_own_answers() -> None:
     listed = rows("a", "b")
     with PeerVm("a", listed) as a, PeerVm("b", listed) as b:
         asked = threading.Barrier(3)
 
         def answer(vm: str, message: Ask) -> Any:
-            # All are asked before any answers, and the last answers first.
+            # No call is answered before all have arrived.
             asked.wait(_LONG_S)
             return Reply(vm, message.number)
 
@@ -82,7 +81,7 @@
         assert answers == [0, 1, 2]
 
 
-def test_a_late_answer_is_not_the_next_calls() -> None:
+def test_a_late_answer_is_not_taken_for_the_next_one() -> None:
     listed = rows("a", "b")
     with PeerVm("a", listed) as a, PeerVm("b", listed) as b:
         given_up = threading.Event()
@@ -96,14 +95,14 @@
         assert a.peers.call("b", Ask(0), _LONG_S).is_ok()
         late = a.peers.call("b", Ask(1), 0.05)
         assert late.unwrap_err().kind == "timeout"
-        # A slow handler does not hold up the connection's other calls.
+        # A slow handler does not block the connection's other calls.
         assert a.peers.call("b", Ask(2), _LONG_S).unwrap().number == 2
         given_up.set()
         assert a.peers.call("b", Ask(3), _LONG_S).unwrap().number == 3
 
 
-def test_a_call_never_reaches_a_vm_it_was_not_meant_for() -> None:
-    """The list still names the old VM at an address that another has now."""
+def test_a_call_never_reaches_another_vm() -> None:
+    """The list still has the old VM at an address that another VM now has."""
     listed = rows("a", "new")
     stale = [*listed, listed[1]._replace(vm="old")]
     with PeerVm("a", stale) as a, PeerVm("new", listed):
@@ -114,10 +113,10 @@
         assert seed.unwrap().vm == "new"
 
 
-def test_one_process_holds_the_address() -> None:
-    """A VM's process was replaced but the old one still runs.
+def test_only_one_process_can_listen_on_an_address() -> None:
+    """A VM's process was replaced, but the old process still runs.
 
-    Both would act for the VM; the newer one must not start.
+    Both would act for the VM, so the new process must not start.
     """
     listed = rows("a")
     taken = pytest.raises(peers.PeerAddressError, match="--peers-address")
@@ -127,7 +126,7 @@
         assert again.peers.call("a", Ask(1), _LONG_S).is_ok()
 
 
-def test_a_peer_that_is_gone_is_unreachable_until_it_is_back() -> None:
+def test_a_stopped_peer_is_unreachable_until_it_restarts() -> None:
     listed = rows("a", "b")
     with PeerVm("a", listed) as a:
         with PeerVm("b", listed):
@@ -144,7 +143,7 @@
             )
 
 
-def test_failures_of_handlers_are_refusals() -> None:
+def test_a_failed_handler_refuses_the_call() -> None:
     listed = rows("a", "b")
 
     class Unknown(NamedTuple):
@@ -162,7 +161,7 @@
         assert a.peers.call("a", Ask(1), 1.0).unwrap_err().kind == "refused"
 
 
-def test_quick_handlers_answer_beside_slow_ones() -> None:
+def test_quick_handlers_are_not_blocked_by_slow_ones() -> None:
     listed = rows("a", "b")
 
     class Slow(NamedTuple):
@@ -185,7 +184,7 @@
                 pool.submit(a.peers.call, "b", Slow(number), _LONG_S)
                 for number in range(9)
             ]
-            # More than run at once are under way.
+            # More calls are in progress than run at once.
             assert a.peers.call("b", Ask(1), _LONG_S).unwrap().number == 1
             b.peers.handle(Ask, services.QuickHandler(fail))
             error = a.peers.call("b", Ask(2), _LONG_S).unwrap_err()
@@ -195,7 +194,7 @@
         assert answers == list(range(9))
 
 
-def test_traffic_is_counted_alike_at_both_ends() -> None:
+def test_both_ends_count_the_same_traffic() -> None:
     listed = rows("a", "b")
     with PeerVm("a", listed) as a, PeerVm("b", listed) as b:
         assert a.peers.call("b", Ask(1), _LONG_S).is_ok()
@@ -204,11 +203,11 @@
         assert ours["received_messages"] == theirs["sent_messages"] == 1
 
 
-def test_a_link_that_retires_takes_no_call_into_its_end() -> None:
-    """A connection is closed for idleness just as it is called again.
+def test_a_retired_link_sends_no_call() -> None:
+    """A connection is closed as idle just as another call begins.
 
-    The call timed out though it was never sent, and its caller had to take
-    it for one that may have had an effect.
+    The call timed out although it was never sent, so its caller had to assume
+    that it might have taken effect.
     """
     listed = rows("a", "b")
     with PeerVm("a", listed), PeerVm("b", listed) as b:
@@ -230,17 +229,17 @@
         with futures.ThreadPoolExecutor(1) as pool:
             call = pool.submit(link.call, Ask(1), _LONG_S)
             assert asked.wait(_LONG_S)
-            # A call waits, so the link is in use.
-            assert not link.retire(0.0)
+            # A call is pending, so the link is in use.
+            assert not link.retire_if_idle(0.0)
             go_on.set()
             assert call.result().is_ok()
-        assert link.retire(0.0)
+        assert link.retire_if_idle(0.0)
         late = link.call(Ask(2), _LONG_S).unwrap_err()
         assert late.kind == "unreachable"
         link.close()
 
 
-def test_a_link_that_does_not_answer_is_given_up() -> None:
+def test_a_call_to_a_peer_without_a_hello_is_unreachable() -> None:
     """The peer accepts the connection but its process is paused."""
     with socket.create_server(("127.0.0.1", 0)) as paused:
         address = f"127.0.0.1:{paused.getsockname()[1]}"
--- a/tests/daemon/test_websocket.py
+++ b/tests/daemon/test_websocket.py
@@ -1,8 +1,8 @@
-"""Connections between VMs whose other end is silent, mad or overloaded.
+"""Tests connections whose other end is silent, faulty or overloaded.
 
-Story: a VM lost its power in the middle of a call. Nothing ends its
-connection, so the thread that read it, and the memory, stayed on every VM
-that it had called, for each of the 99 VMs that fail on an ordinary day.
+They guard against a leak: nothing closes the connection of a VM that lost its
+power during a call, so every VM that it had called kept a thread and memory,
+for each of the 99 VMs that fail on an ordinary day.
 """
 
 from collections.abc import Iterator
@@ -54,7 +54,7 @@
         assert near.receive() == b"answer"
 
 
-def test_an_orderly_end_comes_after_all_messages() -> None:
+def test_an_orderly_close_follows_all_messages() -> None:
     with accepted() as (near, far):
         near.send(b"last")
         near.close()
@@ -64,9 +64,9 @@
             near.send(b"too late")
 
 
-def test_a_close_ends_a_thread_that_receives() -> None:
+def test_close_ends_a_blocked_receive() -> None:
     with accepted() as (near, _far):
-        near.be_open()
+        near.use_idle_timeout()
         ended = threading.Event()
 
         def receive() -> None:
@@ -79,13 +79,13 @@
         assert ended.wait(_LONG_S)
 
 
-def test_an_end_that_lives_answers_pings(
+def test_a_live_end_answers_pings(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(websocket, "PING_INTERVAL_S", _SHORT_S)
     with accepted() as (near, far):
-        near.be_open()
-        far.be_open()
+        near.use_idle_timeout()
+        far.use_idle_timeout()
 
         def read() -> None:
             with contextlib.suppress(websocket.BrokenError):
@@ -97,29 +97,29 @@
         assert near.receive() == b"still here"
 
 
-def test_an_end_that_does_not_answer_pings_is_given_up(
+def test_an_unanswered_ping_breaks_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(websocket, "PING_INTERVAL_S", _SHORT_S)
     monkeypatch.setattr(websocket, "PING_TIMEOUT_S", _SHORT_S)
     with accepted() as (near, _far):
-        near.be_open()
+        near.use_idle_timeout()
         with pytest.raises(websocket.BrokenError, match="silent"):
             near.receive()
 
 
-def test_a_caller_without_power_is_given_up(
+def test_a_silent_caller_breaks_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(websocket, "SILENCE_S", _SHORT_S)
+    monkeypatch.setattr(websocket, "SILENCE_TIMEOUT_S", _SHORT_S)
     with accepted() as (_near, far):
-        far.be_open()
+        far.use_idle_timeout()
         with pytest.raises(websocket.BrokenError, match="silent"):
             far.receive()
 
 
 def test_a_send_to_a_paused_end_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It does not read; each thread that called it hung in its send."""
+    """The paused end does not read; each calling thread hung in its send."""
     monkeypatch.setattr(websocket, "_SEND_TIMEOUT_S", _SHORT_S)
     broken = pytest.raises(websocket.BrokenError)
     with accepted() as (near, _far), broken:
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("kind", ["text", "parts", "long", "garbage"])
-def test_what_is_no_message_breaks_the_connection(kind: str) -> None:
+def test_an_invalid_message_breaks_the_connection(kind: str) -> None:
     protocol = client.ClientProtocol(uri.parse_uri("ws://x:1/"))
     with socket.create_server(("127.0.0.1", 0)) as listener:
         near = socket.create_connection(listener.getsockname())
@@ -147,13 +147,13 @@
         try:
             assert far.receive() is None
         except websocket.BrokenError as error:
-            # The rest, which is told to the other end by the protocol.
+            # For the other kinds the protocol closes the connection orderly.
             assert kind in {"text", "parts"}, error
     far.release()
 
 
 @pytest.mark.parametrize("greeting", [b"", b"GET / HTTP/1.1\r\n\r\n", b"\0\0"])
-def test_what_is_no_websocket_is_not_accepted(greeting: bytes) -> None:
+def test_an_invalid_handshake_is_not_accepted(greeting: bytes) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         near = socket.create_connection(listener.getsockname())
         far, _ = listener.accept()
@@ -164,7 +164,7 @@
             websocket.accept(far, _MAX_BYTES)
 
 
-def test_a_slow_handler_takes_no_thread_from_another_connection() -> None:
+def test_a_slow_handler_does_not_block_another_connection() -> None:
     pool = answerpool.Pool()
     go_on = threading.Event()
     done: list[int] = []
@@ -175,16 +175,16 @@
         done.append(number)
         all_done.release()
 
-    busy = answerpool.Turns(pool)
-    room = answerpool.AT_ONCE + answerpool.MAX_WAITING
+    busy = answerpool.RequestQueue(pool)
+    room = answerpool.MAX_CONCURRENT + answerpool.MAX_QUEUED
     taken = [
-        busy.take(lambda number=number: job(number))  # type: ignore[misc]
+        busy.submit(lambda number=number: job(number))  # type: ignore[misc]
         for number in range(room + 1)
     ]
-    # The last one is refused, as its queue is bounded.
+    # The last one is refused, because the queue is bounded.
     assert taken == [True] * room + [False]
     ran = threading.Event()
-    assert answerpool.Turns(pool).take(ran.set)
+    assert answerpool.RequestQueue(pool).submit(ran.set)
     assert ran.wait(_LONG_S)
     assert not done
     go_on.set()
@@ -192,22 +192,22 @@
     assert sorted(done) == list(range(room))
 
 
-def test_a_thread_that_has_nothing_to_do_ends(
+def test_jobs_run_while_idle_threads_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(answerpool, "IDLE_S", 0.001)
     pool = answerpool.Pool()
     for _ in range(200):
-        # It ends or takes the next job, whichever comes first.
+        # The thread ends or takes the next job, whichever comes first.
         ran = threading.Event()
         pool.run(ran.set)
         assert ran.wait(_LONG_S)
 
 
-def test_a_request_that_cannot_be_answered_ends_its_turn() -> None:
-    turns = answerpool.Turns(answerpool.Pool())
-    for _ in range(2 * answerpool.AT_ONCE):
-        assert turns.take(lambda: 1 // 0)  # type: ignore[arg-type]
+def test_a_failed_job_does_not_block_the_queue() -> None:
+    requests = answerpool.RequestQueue(answerpool.Pool())
+    for _ in range(2 * answerpool.MAX_CONCURRENT):
+        assert requests.submit(lambda: 1 // 0)  # type: ignore[arg-type]
     ran = threading.Event()
-    assert turns.take(ran.set)
+    assert requests.submit(ran.set)
     assert ran.wait(_LONG_S)
