--- a/packages/daemon/bulrushdeald/assembly.py
+++ b/packages/daemon/bulrushdeald/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the services of a daemon together."""
+"""Creates a daemon's services and registers them in the kernel."""
 
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeald import callers
@@ -29,12 +29,12 @@
 
 
 def assemble(settings: defaults.Settings) -> kernel_lib.Kernel:
-    """Returns a kernel with the services that the settings ask for.
+    """Returns a kernel with the services that the settings enable.
 
-    They stand in the order of their dependencies. The callers' server is
-    found by those that add routes to it, so it comes before them, and its
-    listener comes last: it opens when all have started and drains before
-    any other stops.
+    Services are registered in the order of their dependencies. The callers'
+    server comes before the services that add routes to it. Its listener comes
+    last, so that it opens after all other services have started and drains
+    before any of them stops.
     """
     kernel = kernel_lib.Kernel()
     add = kernel.register
--- a/packages/daemon/bulrushdeald/defaults.py
+++ b/packages/daemon/bulrushdeald/defaults.py
@@ -1,4 +1,4 @@
-"""All settings of the daemon with their defaults, and a typed view."""
+"""The daemon's settings with their defaults, and a typed view of them."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -293,7 +293,7 @@
 
 
 class Settings(NamedTuple):
-    """The settings of one daemon, a field for each row of the table."""
+    """The values of one daemon's settings, one field for each in `TABLE`."""
 
     vm: str
     failure_domain: str
@@ -338,11 +338,11 @@
 
 
 def read(flags: Mapping[str, str], environment: Mapping[str, str]) -> Settings:
-    """Returns the checked settings.
+    """Returns the validated settings.
 
     Raises:
-        settings.SettingError: Names the setting, the value and what is
-            allowed.
+        settings.SettingError: A setting is missing or invalid; the message
+            names the setting, its value and the allowed values.
     """
     values: dict[str, Any] = settings.read(TABLE, flags, environment)
     return Settings(**values)
--- a/packages/daemon/bulrushdeald/envelope.py
+++ b/packages/daemon/bulrushdeald/envelope.py
@@ -1,8 +1,8 @@
-"""What a value in the platform's key-value service is wrapped in.
+"""The envelope around each value in the platform's key-value service.
 
-The envelope holds the nonces of the write that made the value and of some
-writes before it, newest first. A writer whose answer was lost finds in it
-whether its write took effect, even when others have written since.
+It holds the nonces of the write that stored the value and of some earlier
+writes, newest first. If the answer to a write is lost, the writer can tell
+from the envelope whether the write took effect, even after later writes.
 """
 
 import secrets
@@ -18,8 +18,8 @@
     """A value with the nonces of the writes that led to it.
 
     Attributes:
-        nonces: Newest first; empty for a value of another writer's make.
-        value: What the caller of `KeyValue` reads and writes.
+        nonces: Newest first; empty for a value stored without an envelope.
+        value: The value that callers of `KeyValue` read and write.
     """
 
     nonces: tuple[bytes, ...]
@@ -27,19 +27,19 @@
 
 
 def new_nonce() -> bytes:
-    """Returns a nonce that no other write has."""
+    """Returns a random nonce, unique to one write."""
     return secrets.token_bytes(NONCE_BYTES)
 
 
 def seal(envelope: Envelope) -> bytes:
-    """Returns the bytes to store; the oldest nonces go beyond the limit."""
+    """Encodes an envelope, dropping the oldest nonces above the limit."""
     nonces = envelope.nonces[:MAX_NONCES]
     head = _MAGIC + bytes([len(nonces)])
     return head + b"".join(nonces) + envelope.value
 
 
 def unseal(data: bytes) -> Envelope:
-    """Returns the envelope in stored bytes; bare bytes are a bare value."""
+    """Decodes stored bytes; bytes without an envelope are the value."""
     if not data.startswith(_MAGIC) or len(data) < _HEAD_BYTES:
         return Envelope((), data)
     count = data[len(_MAGIC)]
--- a/packages/daemon/bulrushdeald/keyvalue.py
+++ b/packages/daemon/bulrushdeald/keyvalue.py
@@ -1,4 +1,8 @@
-"""The platform's key-value service over HTTP, with lost answers settled."""
+"""HTTP client for the platform's key-value service.
+
+If the answer to a write is lost, the client finds out whether the write took
+effect.
+"""
 
 import base64
 import collections
@@ -18,19 +22,19 @@
 from bulrushdeald import services
 
 _log = logs.Log("keyvalue")
-# How long a lost answer is looked into, in timeouts of one call.
-_SETTLE_TIMEOUTS = 2.0
-_SETTLE_PAUSE_S = 0.05
-_MAX_REMEMBERED = 4096
+# How long the client tries to resolve a lost answer, in call timeouts.
+_RESOLVE_TIMEOUTS = 2.0
+_RESOLVE_PAUSE_S = 0.05
+_MAX_NONCE_KEYS = 4096
 
 
 class _Stored(NamedTuple):
-    """A key as the platform holds it.
+    """A key as it is stored on the platform.
 
     Attributes:
-        entry: What the callers of `KeyValue` see.
-        nonces: Of the envelope.
-        is_deleted: Whether a watch told of its deletion.
+        entry: The entry that callers of `KeyValue` get.
+        nonces: The nonces in the value's envelope.
+        is_deleted: Whether a watch reported the key as deleted.
     """
 
     entry: services.Entry
@@ -39,13 +43,14 @@
 
 
 class _Write(NamedTuple):
-    """A write under way.
+    """A put in progress.
 
     Attributes:
         key: The key.
-        expected_revision: What the caller saw last.
-        nonces: The write's own, then those that led to what the caller saw.
-        data: The sealed bytes.
+        expected_revision: The revision that the caller read last.
+        nonces: This write's nonce, then those of the entry that the caller
+            read.
+        data: The encoded envelope.
     """
 
     key: str
@@ -55,7 +60,7 @@
 
 
 class HttpKeyValue:
-    """See `services.KeyValue`; a deleted key is watched as an empty value."""
+    """See `services.KeyValue`; `watch` returns deleted keys as empty values."""
 
     def __init__(
         self,
@@ -70,15 +75,16 @@
         self._client = client or platformclient.PlatformClient(
             settings.platform_address, settings.platform_timeout_s
         )
-        # The nonces of entries read, by key, for the next write's envelope.
-        self._seen: collections.OrderedDict[
+        # Revision and nonces of the newest known entry of each key; the next
+        # write's envelope includes these nonces.
+        self._nonces_by_key: collections.OrderedDict[
             str, tuple[int, tuple[bytes, ...]]
         ] = collections.OrderedDict()
         self._lock = threading.Lock()
-        self._settled: collections.Counter[str] = collections.Counter()
+        self._resolved: collections.Counter[str] = collections.Counter()
 
     def start(self) -> None:
-        """Does nothing; connections open on demand."""
+        """Does nothing; connections are opened on demand."""
 
     def stop(self, grace_s: float) -> None:
         """Closes idle connections."""
@@ -86,10 +92,10 @@
         self._client.close()
 
     def dump(self) -> Any:
-        """Returns the calls made and how lost answers were settled."""
+        """Returns the call counts and how lost answers were resolved."""
         with self._lock:
-            settled = dict(self._settled)
-        return {**self._client.dump(), "settled": settled}
+            resolved = dict(self._resolved)
+        return {**self._client.dump(), "settled": resolved}
 
     def get(
         self, key: str
@@ -123,14 +129,13 @@
     ) -> result.Result[int, services.KeyValueError]:
         """See `services.KeyValue`.
 
-        If an answer was lost and others have written since, the revision
-        returned is one that is lower than theirs and not lower than the
-        write's own could be; a compare-and-swap with it conflicts, as it
-        should.
+        If the answer was lost and others have written since, the returned
+        revision is a lower bound of the write's own. It is lower than the
+        later revisions, so that a compare-and-swap with it conflicts.
         """
         nonces = (
             envelope.new_nonce(),
-            *self._seen_nonces(key, expected_revision),
+            *self._known_nonces(key, expected_revision),
         )
         data = envelope.seal(envelope.Envelope(nonces, value))
         write = _Write(key, expected_revision, nonces, data)
@@ -138,15 +143,15 @@
         if sent.is_err() and sent.unwrap_err().kind == "not_sent":
             return result.Err(_unavailable(sent.unwrap_err()))
         if sent.is_err():
-            return self._settle(write)
-        return self._conclude(write, sent.unwrap())
+            return self._resolve_lost_put(write)
+        return self._put_outcome(write, sent.unwrap())
 
     def delete(
         self, key: str, expected_revision: int
     ) -> result.Result[None, services.KeyValueError]:
         """See `services.KeyValue`."""
-        deadline_s = self._settle_deadline_s()
-        is_lost = False
+        deadline_s = self._resolve_deadline_s()
+        is_repeated = False
         while True:
             answer = self._client.call(
                 "delete",
@@ -155,23 +160,23 @@
                 {"expected_revision": str(expected_revision)},
             )
             if answer.is_ok():
-                return self._conclude_delete(key, answer.unwrap(), is_lost)
-            if answer.unwrap_err().kind == "not_sent" and not is_lost:
+                return self._delete_outcome(key, answer.unwrap(), is_repeated)
+            if answer.unwrap_err().kind == "not_sent" and not is_repeated:
                 return result.Err(_unavailable(answer.unwrap_err()))
-            # Sending the same deletion again is safe: revisions are never
-            # used twice, so it can only hit the entry it was meant for.
-            is_lost = True
+            # Repeating the deletion is safe: revisions are unique, so it can
+            # only delete the intended entry.
+            is_repeated = True
             if self._clock.monotonic_s() >= deadline_s:
                 return result.Err(_unknown(key))
-            self._clock.sleep_s(_SETTLE_PAUSE_S)
+            self._clock.sleep_s(_RESOLVE_PAUSE_S)
 
-    def _conclude_delete(
-        self, key: str, answer: platformclient.Answer, is_lost: bool
+    def _delete_outcome(
+        self, key: str, answer: platformclient.Answer, is_repeated: bool
     ) -> result.Result[None, services.KeyValueError]:
         if answer.status == http.HTTPStatus.OK:
             return result.Ok(None)
         current = self._stored(answer.body) if answer.body else None
-        if is_lost and current is None:
+        if is_repeated and current is None:
             return result.Ok(None)
         return result.Err(_conflict(key, current))
 
@@ -186,7 +191,7 @@
             write.data,
         )
 
-    def _conclude(
+    def _put_outcome(
         self, write: _Write, answer: platformclient.Answer
     ) -> result.Result[int, services.KeyValueError]:
         if answer.status == http.HTTPStatus.OK:
@@ -196,56 +201,59 @@
         if answer.status == http.HTTPStatus.CONFLICT:
             current = self._stored(answer.body) if answer.body else None
             return result.Err(_conflict(write.key, current))
-        message = f"The platform refused {write.key}: {answer.status}."
+        message = f"The platform refused to write {write.key}: {answer.status}."
         return result.Err(services.KeyValueError("unavailable", message))
 
-    def _settle(
+    def _resolve_lost_put(
         self, write: _Write
     ) -> result.Result[int, services.KeyValueError]:
-        """Finds out whether a write whose answer was lost took effect.
-
-        The failure: the platform applied the write, the answer was lost,
-        and the caller would take an accepted edit for a failed one or do it
-        twice. Reading back and finding the old revision does not settle it,
-        for the write may still be on its way; so the same bytes are sent
-        once more under the same expected revision. At most one of the two
-        can take effect, and either carries this write's nonce.
+        """Finds out whether a put whose answer was lost took effect.
+
+        Without this, a caller would take an accepted edit for a failed one,
+        or repeat it. Reading the old revision back proves nothing, because
+        the write may still arrive. So the same bytes are sent again with the
+        same expected revision: at most one of the two writes can take
+        effect, and both carry the same nonce.
         """
-        deadline_s = self._settle_deadline_s()
+        deadline_s = self._resolve_deadline_s()
         while True:
-            outcome = self._settle_once(write)
+            outcome = self._try_to_resolve(write)
             if outcome is not None:
-                self._count("known" if outcome.is_ok() else "not in force")
+                self._count_resolved(
+                    "known" if outcome.is_ok() else "not in force"
+                )
                 return outcome
             if self._clock.monotonic_s() >= deadline_s:
-                self._count("unknown")
+                self._count_resolved("unknown")
                 return result.Err(_unknown(write.key))
-            self._clock.sleep_s(_SETTLE_PAUSE_S)
+            self._clock.sleep_s(_RESOLVE_PAUSE_S)
 
-    def _settle_once(
+    def _try_to_resolve(
         self, write: _Write
     ) -> result.Result[int, services.KeyValueError] | None:
         read = self._read(write.key)
         if read.is_err():
             return None
         current = read.unwrap()
-        held_revision = current.entry.revision if current else 0
-        if held_revision != write.expected_revision:
-            return self._judge(write, current)
+        current_revision = current.entry.revision if current else 0
+        if current_revision != write.expected_revision:
+            return self._outcome_by_nonces(write, current)
         sent = self._send(write)
         if sent.is_err():
             return None
         if sent.unwrap().status == http.HTTPStatus.CONFLICT:
             body = sent.unwrap().body
-            return self._judge(write, self._stored(body) if body else None)
-        return self._conclude(write, sent.unwrap())
+            return self._outcome_by_nonces(
+                write, self._stored(body) if body else None
+            )
+        return self._put_outcome(write, sent.unwrap())
 
-    def _judge(
+    def _outcome_by_nonces(
         self, write: _Write, current: _Stored | None
     ) -> result.Result[int, services.KeyValueError]:
-        """Decides by the nonces of a value that is not the expected one."""
+        """Returns the outcome of a put, from the nonces of a newer entry."""
         if current is None:
-            # Somebody deleted the key, before or after this write.
+            # The key was deleted; this write may have taken effect before.
             return result.Err(_unknown(write.key))
         own, *before = write.nonces
         if own in current.nonces[:1]:
@@ -254,7 +262,8 @@
         if own in current.nonces:
             return result.Ok(write.expected_revision + 1)
         if before and before[0] in current.nonces:
-            # The writes since the expected one are all there, without this.
+            # The envelope lists all writes since the expected revision, and
+            # this write is not among them.
             return result.Err(_conflict(write.key, current))
         return result.Err(_unknown(write.key))
 
@@ -290,25 +299,25 @@
         self, key: str, revision: int, nonces: tuple[bytes, ...]
     ) -> None:
         with self._lock:
-            seen_revision, _ = self._seen.get(key, (0, ()))
+            seen_revision, _ = self._nonces_by_key.get(key, (0, ()))
             if revision < seen_revision:
                 return
-            self._seen[key] = (revision, nonces[: envelope.MAX_NONCES])
-            self._seen.move_to_end(key)
-            while len(self._seen) > _MAX_REMEMBERED:
-                self._seen.popitem(last=False)
+            self._nonces_by_key[key] = (revision, nonces[: envelope.MAX_NONCES])
+            self._nonces_by_key.move_to_end(key)
+            while len(self._nonces_by_key) > _MAX_NONCE_KEYS:
+                self._nonces_by_key.popitem(last=False)
 
-    def _seen_nonces(self, key: str, revision: int) -> tuple[bytes, ...]:
+    def _known_nonces(self, key: str, revision: int) -> tuple[bytes, ...]:
         with self._lock:
-            seen_revision, nonces = self._seen.get(key, (0, ()))
+            seen_revision, nonces = self._nonces_by_key.get(key, (0, ()))
             return nonces if seen_revision == revision else ()
 
-    def _settle_deadline_s(self) -> float:
-        return self._clock.monotonic_s() + _SETTLE_TIMEOUTS * self._timeout_s
+    def _resolve_deadline_s(self) -> float:
+        return self._clock.monotonic_s() + _RESOLVE_TIMEOUTS * self._timeout_s
 
-    def _count(self, outcome: str) -> None:
+    def _count_resolved(self, outcome: str) -> None:
         with self._lock:
-            self._settled[outcome] += 1
+            self._resolved[outcome] += 1
 
 
 def _path(key: str) -> str:
--- a/packages/daemon/bulrushdeald/main.py
+++ b/packages/daemon/bulrushdeald/main.py
@@ -1,4 +1,4 @@
-"""The program `bulrushdeald`: reads settings, runs the services, stops."""
+"""The program `bulrushdeald`, which runs the daemon's services."""
 
 import faulthandler
 import json
@@ -26,7 +26,7 @@
 
 
 class ServeCommand(command.Command):
-    """Runs the services until a signal asks the process to stop."""
+    """Runs the services until a signal stops the process."""
 
     name = "serve"
     description = "Serve callers, operators and peers on this VM."
@@ -52,7 +52,7 @@
 
 
 class SettingsCommand(command.Command):
-    """Prints the table of settings, as the operators' docs have it."""
+    """Prints the table of settings that the operators' docs contain."""
 
     name = "settings"
     description = "Print all settings as a Markdown table."
@@ -73,7 +73,8 @@
         del frame
         signals.append(number)
         if len(signals) > 1:
-            # A second signal means somebody is waiting: say what for.
+            # A second signal suggests that the shutdown takes too long, so
+            # the log shows what is still open.
             _log_dump(kernel, "Still open")
         stopping.set()
 
@@ -98,8 +99,8 @@
 
 
 def _log_dump(kernel: kernel_lib.Kernel, title: str) -> None:
-    # From a thread: a service's lock may be held by the code that the
-    # signal interrupted, and would never be released to the handler.
+    # The dump runs in a thread, because the interrupted code may hold a
+    # service's lock. The signal handler itself would deadlock on it.
     def write() -> None:
         state = codec.to_object(kernel.dump())
         _log.info("%s: %s", title, json.dumps(state, default=str))
@@ -108,7 +109,7 @@
 
 
 def main() -> None:
-    """Runs the program; the command is `serve` unless another is named."""
+    """Runs the program; the default command is `serve`."""
     app = application.Application("bulrushdeald", "0.1.0")
     app.add(ServeCommand())
     app.add(SettingsCommand())
@@ -116,9 +117,10 @@
     sys.exit(app.run())
 
 
-def _with_command(words: list[str]) -> list[str]:
+def _with_command(arguments: list[str]) -> list[str]:
     flags = {f"--{row.flag}" for row in defaults.TABLE}
-    if not words or words[0].partition("=")[0] in flags:
-        return ["serve", *words]
-    # The library would explain its command `list` instead of listing.
-    return ["list"] if words in (["--help"], ["-h"]) else words
+    if not arguments or arguments[0].partition("=")[0] in flags:
+        return ["serve", *arguments]
+    # Without a command, the library would show the help of its command `list`
+    # instead of the list of commands.
+    return ["list"] if arguments in (["--help"], ["-h"]) else arguments
--- a/packages/daemon/bulrushdeald/membership.py
+++ b/packages/daemon/bulrushdeald/membership.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs, kept over its outages."""
+"""The platform's list of VMs, kept during the platform's outages."""
 
 import secrets
 import threading
@@ -20,8 +20,8 @@
 class PlatformMembership:
     """Holds the list of VMs; see `services.Membership`.
 
-    It reads the list once when it starts; `vmlist` keeps it up to date. An
-    outage, a cut or a bad answer leaves the list as it was.
+    It reads the list once at the start; `vmlist` keeps it up to date. An
+    outage, a network partition or an invalid answer leaves the list unchanged.
     """
 
     def __init__(
@@ -49,12 +49,13 @@
         self._lock = threading.Lock()
         self._listed: dict[str, records.Vm] = {}
         self._entry_vms: tuple[records.Vm, ...] = (self._own,)
-        # When the platform was read last, here or by the peer that told.
-        self._read_s: float | None = None
+        # When the current list was read from the platform, by this VM or by the
+        # peer that sent it; by the monotonic clock.
+        self._last_read_s: float | None = None
         self._missing_since_s: dict[str, float] = {}
 
     def start(self) -> None:
-        """Reads the list once, if the platform answers."""
+        """Tries once to read the list."""
         self.poll()
 
     def stop(self, grace_s: float) -> None:
@@ -63,7 +64,7 @@
         self._client.close()
 
     def dump(self) -> Any:
-        """Returns the list and the calls made."""
+        """Returns a summary of the list and the call counts."""
         age_s = self.age_s()
         return {
             "incarnation": self._incarnation,
@@ -86,26 +87,26 @@
         return self._entry_vms
 
     def rows(self) -> tuple[records.Vm, ...]:
-        """Returns all rows listed last, upstreams' VMs too, by name."""
+        """Returns all rows of the latest list, with upstreams' VMs, by name."""
         listed = self._listed
         return tuple(listed[vm] for vm in sorted(listed))
 
     def age_s(self) -> float | None:
-        """Returns how long ago the platform was read; `None` if never."""
-        if self._read_s is None:
+        """Returns the seconds since the list was read; `None` if never."""
+        if self._last_read_s is None:
             return None
-        return self._clock.monotonic_s() - self._read_s
+        return self._clock.monotonic_s() - self._last_read_s
 
     def is_listed(self, vm: str) -> bool:
         """See `services.Membership`.
 
-        The failure: the list lags, and two reads of it may come from other
-        times, so a VM that has just started is missing and would be taken
-        for gone while it runs. A VM counts as gone only when reads over
-        the whole lag allowed have missed it.
+        The list lags, and two reads may show states in the wrong order, so a
+        VM that has just started may be missing from it. A VM therefore counts
+        as gone only if it was missing from the reads of a whole
+        `vm_list_lag_s`.
         """
         with self._lock:
-            if self._read_s is None or vm == self._own.vm:
+            if self._last_read_s is None or vm == self._own.vm:
                 return True
             if vm in self._listed:
                 self._missing_since_s.pop(vm, None)
@@ -113,7 +114,7 @@
             since_s = self._missing_since_s.setdefault(
                 vm, self._clock.monotonic_s()
             )
-            return self._read_s - since_s < self._lag_s
+            return self._last_read_s - since_s < self._lag_s
 
     def is_leaving(self, vm: str) -> bool:
         """See `services.Membership`."""
@@ -121,13 +122,15 @@
         return row is not None and row.state == "leaving"
 
     def poll(self) -> bool:
-        """Reads the list from the platform; false if it cannot be read."""
+        """Reads the list from the platform; returns false on failure."""
         answer = self._client.call("vms", "GET", "/v1/vms", etag=self._etag)
         if answer.is_err():
-            _log.debug("Kept the last list: %s", answer.unwrap_err().message)
+            _log.debug(
+                "Kept the last list of VMs: %s", answer.unwrap_err().message
+            )
             return False
         if answer.unwrap().status == _NOT_MODIFIED:
-            self.confirm(0.0)
+            self.confirm_list(0.0)
             return True
         try:
             rows = tuple(
@@ -135,28 +138,28 @@
                 for row in answer.unwrap().body["vms"]
             )
         except (KeyError, TypeError, codec.CodecError) as error:
-            _log.warning("Dropped a bad list of VMs: %r", error)
+            _log.warning("Rejected an invalid list of VMs: %r", error)
             return False
-        self.learn(rows, 0.0)
+        self.replace_list(rows, 0.0)
         self._etag = answer.unwrap().etag
         return True
 
-    def learn(self, rows: tuple[records.Vm, ...], age_s: float) -> None:
-        """Takes a list that the platform gave `age_s` seconds ago."""
+    def replace_list(self, rows: tuple[records.Vm, ...], age_s: float) -> None:
+        """Replaces the list by one read from the platform `age_s` ago."""
         listed = {row.vm: row for row in rows}
         entry_vms = {row.vm: row for row in rows if row.role == "entry"}
         own = entry_vms.get(self._own.vm, self._own)
         entry_vms[self._own.vm] = self._own._replace(state=own.state)
         with self._lock:
-            # A list from a peer is not the one that the platform named.
+            # A list from a peer does not match the last entity tag.
             self._etag = ""
             before = self._listed
             self._listed = listed
             self._entry_vms = tuple(entry_vms[vm] for vm in sorted(entry_vms))
-            self._note_missing(before, listed)
-        self.confirm(age_s)
+            self._update_missing(before, listed)
+        self.confirm_list(age_s)
 
-    def _note_missing(
+    def _update_missing(
         self, before: dict[str, records.Vm], listed: dict[str, records.Vm]
     ) -> None:
         now_s = self._clock.monotonic_s()
@@ -165,12 +168,12 @@
         for vm in before:
             if vm not in listed:
                 self._missing_since_s.setdefault(vm, now_s)
-        # Names are not used again, so those longest gone can be forgotten.
+        # VM names are never reused, so the oldest entries can be dropped.
         while len(self._missing_since_s) > _MAX_MISSING:
             del self._missing_since_s[next(iter(self._missing_since_s))]
 
-    def confirm(self, age_s: float) -> None:
-        """Notes that the list held was the platform's `age_s` seconds ago."""
+    def confirm_list(self, age_s: float) -> None:
+        """Records that the list matched the platform's `age_s` seconds ago."""
         read_s = self._clock.monotonic_s() - age_s
         with self._lock:
-            self._read_s = max(read_s, self._read_s or read_s)
+            self._last_read_s = max(read_s, self._last_read_s or read_s)
--- a/packages/daemon/bulrushdeald/operators.py
+++ b/packages/daemon/bulrushdeald/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server: its credential, its routes, and a dump."""
+"""The operators' HTTP server: authentication, routes and a state dump."""
 
 import hmac
 import json
@@ -19,8 +19,8 @@
 class OperatorsServer:
     """See `services.OperatorRoutes`.
 
-    Other services add their routes in their own `start`, so it is
-    registered after them; until it starts nothing is served.
+    Other services add their routes in their own `start`, so this one is
+    registered after them. It serves nothing until it starts.
     """
 
     def __init__(
@@ -28,44 +28,46 @@
     ) -> None:
         self._kernel = kernel
         self._token = settings.operator_token.encode()
-        self._exact: dict[tuple[str, str], httpd.Handler] = {}
-        self._prefixes: dict[tuple[str, str], httpd.Handler] = {}
+        self._exact_routes: dict[tuple[str, str], httpd.Handler] = {}
+        self._prefix_routes: dict[tuple[str, str], httpd.Handler] = {}
         self._server = httpd.Server(
             settings.operators_address, self._serve, _THREADS
         )
 
     @property
     def port(self) -> int:
-        """The port it listens on, known after `start`."""
+        """The port that the server listens on, known after `start`."""
         return self._server.port
 
     def start(self) -> None:
-        """Adds the configuration's routes and listens."""
+        """Adds the dump's and the configuration's routes and listens."""
         self.route("GET", "/v1/dump", self._dump)
         configroutes.add(self._kernel, self)
         self._server.start()
 
     def stop(self, grace_s: float) -> None:
-        """Lets open requests end and closes the address."""
+        """Waits for open requests and stops listening."""
         self._server.stop(grace_s)
 
     def dump(self) -> Any:
         """Returns the routes."""
-        return {"routes": sorted([*self._exact, *self._prefixes])}
+        return {"routes": sorted([*self._exact_routes, *self._prefix_routes])}
 
     def route(self, method: str, path: str, handler: httpd.Handler) -> None:
         """See `services.OperatorRoutes`; a path ending in `/` is a prefix."""
-        routes = self._prefixes if path.endswith("/") else self._exact
+        routes = (
+            self._prefix_routes if path.endswith("/") else self._exact_routes
+        )
         routes[method, path] = handler
 
     def _serve(self, request: httpd.Request) -> httpd.Response:
-        if not self._is_allowed(request):
+        if not self._is_authorized(request):
             message = "An operator token is required."
             return replies.error(401, "unauthorized", message)
-        request = request._replace(path=_utf8(request.path))
-        handler = self._find(request.method, request.path)
+        request = request._replace(path=_decode_path(request.path))
+        handler = self._find_handler(request.method, request.path)
         if handler is None:
-            message = f"Nothing is at {request.method} {request.path}."
+            message = f"There is no route {request.method} {request.path}."
             return replies.error(404, "not_found", message)
         try:
             return handler(request)
@@ -73,29 +75,31 @@
             return replies.error(
                 400, "invalid_request", str(error), field=error.field
             )
-        except Exception:  # noqa: BLE001 - the operator gets an answer.
+        except Exception:  # noqa: BLE001 - the operator must get an answer.
             _log.exception("%s %s failed.", request.method, request.path)
-            return replies.error(500, "internal", "It failed; see the log.")
+            return replies.error(
+                500, "internal", "The request failed; see the daemon's log."
+            )
 
-    def _is_allowed(self, request: httpd.Request) -> bool:
+    def _is_authorized(self, request: httpd.Request) -> bool:
         given = request.headers.get("authorization", "")
-        kind, _, token = given.partition(" ")
-        # Without a token set, nobody is let in.
+        scheme, _, token = given.partition(" ")
+        # If no token is configured, every request is rejected.
         is_same = hmac.compare_digest(token.strip().encode(), self._token)
-        return kind.lower() == "bearer" and is_same and bool(self._token)
+        return scheme.lower() == "bearer" and is_same and bool(self._token)
 
-    def _find(self, method: str, path: str) -> httpd.Handler | None:
-        exact = self._exact.get((method, path))
+    def _find_handler(self, method: str, path: str) -> httpd.Handler | None:
+        exact = self._exact_routes.get((method, path))
         if exact is not None:
             return exact
-        found = [
+        prefixes = [
             prefix
-            for known, prefix in self._prefixes
-            if known == method and path.startswith(prefix)
+            for route_method, prefix in self._prefix_routes
+            if route_method == method and path.startswith(prefix)
         ]
-        if not found:
+        if not prefixes:
             return None
-        return self._prefixes[method, max(found, key=len)]
+        return self._prefix_routes[method, max(prefixes, key=len)]
 
     def _dump(self, request: httpd.Request) -> httpd.Response:
         del request
@@ -103,8 +107,8 @@
         return httpd.json_response(200, json.loads(state))
 
 
-def _utf8(path: str) -> str:
-    # WSGI hands the path's bytes over as Latin-1.
+def _decode_path(path: str) -> str:
+    # WSGI passes the path's bytes decoded as Latin-1.
     try:
         return path.encode("latin-1").decode()
     except UnicodeError:
--- a/packages/daemon/bulrushdeald/platformclient.py
+++ b/packages/daemon/bulrushdeald/platformclient.py
@@ -1,4 +1,4 @@
-"""HTTP towards the platform: each call is sent once and has a timeout."""
+"""HTTP client for the platform: no retries, a timeout for each call."""
 
 import collections
 import http
@@ -15,12 +15,12 @@
 
 
 class Answer(NamedTuple):
-    """An answer of the platform.
+    """The platform's answer to a call.
 
     Attributes:
         status: The HTTP status, less than 500.
         body: The JSON object of the body.
-        etag: Names this state of what was read; empty if it has no name.
+        etag: The entity tag of the returned state; empty if there is none.
     """
 
     status: int
@@ -29,12 +29,12 @@
 
 
 class CallError(NamedTuple):
-    """A call that brought no answer to act on.
+    """A call that returned no usable answer.
 
     Attributes:
-        kind: `not_sent`: surely without effect. `lost`: it may have taken
-            effect, or still may.
-        message: For the log.
+        kind: `not_sent`: the call certainly has no effect. `lost`: it may
+            have taken effect, or may still do so.
+        message: Text for the log.
     """
 
     kind: Literal["not_sent", "lost"]
@@ -57,31 +57,32 @@
         """Sends one call.
 
         Args:
-            kind: The name it is counted under.
+            kind: The name that the call is counted under.
             method: The HTTP method.
-            path: The path, percent-encoded.
-            fields: The query.
+            path: The percent-encoded path.
+            fields: The query parameters.
             body: The request's body.
-            wait_s: How long the platform may keep the call waiting, on top
-                of the timeout.
-            etag: The state known; if it still is so, the answer is 304.
+            wait_s: Seconds that the platform may wait before it answers, in
+                addition to the timeout.
+            etag: The entity tag of the known state; the status is 304 if
+                it has not changed.
         """
 
     def close(self) -> None:
         """Closes idle connections."""
 
     def dump(self) -> dict[str, dict[str, int]]:
-        """Returns the counts of calls and of errors."""
+        """Returns the numbers of calls and of errors, by kind."""
 
 
 class PlatformClient:
-    """Calls the platform and counts the calls by kind."""
+    """Calls the platform over pooled connections; see `Caller`."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         host, _, port = address.rpartition(":")
         self._timeout_s = timeout_s
-        # Without `retries=False` the pool would send a write again whose
-        # answer was lost.
+        # Without `retries=False`, the pool would repeat a write whose answer
+        # was lost.
         self._pool = urllib3.HTTPConnectionPool(
             host, int(port), maxsize=_POOL_CONNECTIONS, retries=False
         )
@@ -127,12 +128,16 @@
         self, response: urllib3.BaseHTTPResponse
     ) -> result.Result[Answer, CallError]:
         if response.status == http.HTTPStatus.TOO_MANY_REQUESTS:
-            return self._fail("not_sent", "The platform is rate-limiting.")
+            return self._fail("not_sent", "The platform rate-limited the call.")
         if response.status >= _SERVER_ERROR:
-            return self._fail("lost", f"The platform says {response.status}.")
+            return self._fail(
+                "lost", f"The platform answered {response.status}."
+            )
         body = json.loads(response.data or b"{}")
         if not isinstance(body, dict):
-            return self._fail("lost", "The body is not an object.")
+            return self._fail(
+                "lost", "The platform's answer is not a JSON object."
+            )
         etag = response.headers.get("ETag", "")
         return result.Ok(Answer(response.status, body, etag))
 
--- a/packages/daemon/bulrushdeald/replies.py
+++ b/packages/daemon/bulrushdeald/replies.py
@@ -1,4 +1,4 @@
-"""What the operators' routes have in common: reading bodies, errors."""
+"""Helpers of the operators' routes: request bodies and error responses."""
 
 import json
 from typing import Any, TypeVar
@@ -10,7 +10,7 @@
 from bulrushdeald import table
 
 _MAX_BODY_BYTES = 20_000_000
-_STATUSES = {
+_STATUS_BY_KIND = {
     "conflict": 409,
     "invalid": 400,
     "missing": 404,
@@ -22,7 +22,7 @@
 
 
 class BadRequestError(Exception):
-    """A request that is wrong in itself; the message is shown."""
+    """An invalid request; the operator gets the message."""
 
     def __init__(self, message: str, field: str = "") -> None:
         super().__init__(message)
@@ -32,13 +32,13 @@
 def error(
     status: int, code: str, message: str, **details: Any
 ) -> httpd.Response:
-    """Returns an error as the operators' clients read it."""
+    """Returns an error response in the format of the operators' API."""
     body = {"code": code, "message": message, **details}
     return httpd.json_response(status, {"error": body})
 
 
 def edit_error(problem: edits.EditError) -> httpd.Response:
-    """Returns the answer to an edit that was not accepted."""
+    """Returns the error response to a rejected edit."""
     details: dict[str, Any] = {}
     if problem.column:
         details["column"] = problem.column
@@ -47,12 +47,15 @@
         details["current"] = problem.current
         details["yours"] = problem.yours
     return error(
-        _STATUSES[problem.kind], problem.kind, problem.message, **details
+        _STATUS_BY_KIND[problem.kind], problem.kind, problem.message, **details
     )
 
 
 def table_errors(problems: tuple[table.TableError, ...]) -> httpd.Response:
-    """Returns the answer to a table with errors, the first in front."""
+    """Returns the error response to an invalid table.
+
+    The message, line and column are those of the first error.
+    """
     first = problems[0]
     return error(
         400,
@@ -65,7 +68,7 @@
 
 
 def body_bytes(request: httpd.Request) -> bytes:
-    """Returns the whole body."""
+    """Returns the request's whole body."""
     if request.length_bytes > _MAX_BODY_BYTES:
         raise BadRequestError("The body is too large.")
     if request.length_bytes >= 0:
@@ -77,23 +80,23 @@
 
 
 def body_object(request: httpd.Request) -> dict[str, Any]:
-    """Returns the body's JSON object."""
+    """Returns the JSON object in the request's body."""
     try:
         value = json.loads(body_bytes(request) or b"{}")
     except (ValueError, RecursionError) as problem:
         raise BadRequestError(f"The body is not JSON: {problem}") from None
     if not isinstance(value, dict):
-        raise BadRequestError("The body is not an object.")
+        raise BadRequestError("The body is not a JSON object.")
     return value
 
 
-def body_message(request: httpd.Request, kind: type[M], **given: Any) -> M:
-    """Returns the body as a message; `given` beats what the body says."""
-    body = {**body_object(request), **given}
+def body_message(request: httpd.Request, kind: type[M], **overrides: Any) -> M:
+    """Returns the body as a message; `overrides` replace its fields."""
+    body = {**body_object(request), **overrides}
     unknown = set(body) - set(getattr(kind, "_fields", ()))
     if unknown:
         field = sorted(unknown)[0]
-        raise BadRequestError(f"There is no field {field!r}.", field)
+        raise BadRequestError(f"Unknown field {field!r}.", field)
     try:
         return codec.from_plain(kind, body)
     except codec.CodecError as problem:
@@ -101,15 +104,15 @@
 
 
 def query(request: httpd.Request) -> dict[str, str]:
-    """Returns the query's fields."""
+    """Returns the query parameters."""
     return dict(parse.parse_qsl(request.query, keep_blank_values=True))
 
 
 def revision(value: Any, field: str) -> int | None:
-    """Returns a revision given by an operator, `None` if it is not."""
+    """Returns a revision given by an operator, or `None` if omitted."""
     if value is None or value == "":
         return None
     try:
         return int(value)
     except (TypeError, ValueError):
-        raise BadRequestError("A revision is an integer.", field) from None
+        raise BadRequestError("A revision must be an integer.", field) from None
--- a/packages/daemon/bulrushdeald/vmlist.py
+++ b/packages/daemon/bulrushdeald/vmlist.py
@@ -1,7 +1,7 @@
 """Keeps the list of VMs up to date with few calls to the platform.
 
-Two VMs of each failure domain read the platform's list; the others ask one
-of them for what changed, and read it themselves if neither answers.
+Two VMs of each failure domain read the platform's list. The others ask one of
+these readers for changes, and read the platform if neither reader answers.
 """
 
 import collections
@@ -23,24 +23,24 @@
 
 NAME = "vmlist"
 _PEER_TIMEOUT_S = 1.0
-_MAX_STEPS = 64
+_MAX_CHANGES = 64
 
 
 class ReadVmList(NamedTuple):
-    """Asks what differs from the list that the asker holds."""
+    """Asks a reader for changes to the list with this digest."""
 
     digest: bytes
 
 
 class VmListChange(NamedTuple):
-    """What turns the asker's list into the peer's.
+    """The difference between the asking VM's list and the peer's list.
 
     Attributes:
-        age_s: How long ago the peer's list was read from the platform;
-            less than 0 if it has none.
+        age_s: Seconds since the peer's list was read from the platform;
+            negative if the peer has no list.
         is_whole: Whether `rows` is the whole list.
-        rows: The rows that are new or other.
-        gone: The names that are no longer listed.
+        rows: The new and changed rows.
+        gone: The names of VMs that are no longer listed.
     """
 
     age_s: float
@@ -49,41 +49,41 @@
     gone: tuple[str, ...] = ()
 
 
-class _Step(NamedTuple):
-    """One change of the list held here."""
+class _ListChange(NamedTuple):
+    """A change of this VM's list, kept to answer peers."""
 
-    before: bytes
+    digest_before: bytes
     rows: tuple[records.Vm, ...]
     gone: tuple[str, ...]
 
 
 class VmListFeed:
-    """Feeds `membership` from the platform or from peers."""
+    """Updates the list in `membership` from the platform or from peers."""
 
     def __init__(
         self,
         kernel: kernel_lib.Kernel,
         settings: defaults.Settings,
-        choice: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self._kernel = kernel
         self._poll_s = settings.vm_list_poll_s
         self._lag_s = settings.vm_list_lag_s
         self._seeds = tuple(filter(None, settings.peer_seeds.split(",")))
-        self._random = choice or random.Random()
+        self._random = random_source or random.Random()
         self._lock = threading.Lock()
-        self._steps: collections.deque[_Step] = collections.deque(
-            maxlen=_MAX_STEPS
+        self._changes: collections.deque[_ListChange] = collections.deque(
+            maxlen=_MAX_CHANGES
         )
-        self._known: dict[str, records.Vm] = {}
-        self._digest = _digest(self._known)
+        self._rows: dict[str, records.Vm] = {}
+        self._digest = _digest(self._rows)
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name=NAME, daemon=True
         )
 
     def attach(self) -> None:
-        """Finds the other services and answers peers; starts no thread."""
+        """Finds the other services and registers the handlers for peers."""
         self._membership = self._kernel.find(
             services.MEMBERSHIP, membership_lib.PlatformMembership
         )
@@ -92,24 +92,24 @@
         )
         self._peers.handle(ReadVmList, services.QuickHandler(self._on_read))
         self._peers.understand(VmListChange)
-        self._note()
+        self._record_change()
 
     def start(self) -> None:
-        """Answers peers and begins to feed."""
+        """Starts answering peers and updating the list."""
         self.attach()
         self._thread.start()
 
     def stop(self, grace_s: float) -> None:
-        """Ends the thread."""
+        """Stops the thread."""
         self._stopping.set()
         self._thread.join(min(grace_s, _PEER_TIMEOUT_S))
 
     def dump(self) -> Any:
-        """Returns who reads the platform for this VM."""
-        return {"sources": self._sources(), "steps": len(self._steps)}
+        """Returns the readers of this VM's failure domain."""
+        return {"sources": self._sources(), "steps": len(self._changes)}
 
     def update(self) -> bool:
-        """Brings the list up to date; false if nobody answers."""
+        """Updates the list; returns false if no source answers."""
         own = self._membership.own().vm
         sources = self._sources()
         if own not in sources:
@@ -118,11 +118,11 @@
                 answer = self._peers.call(
                     vm, ReadVmList(self._digest), _PEER_TIMEOUT_S
                 )
-                if answer.is_ok() and self._take(answer.unwrap()):
+                if answer.is_ok() and self._apply(answer.unwrap()):
                     return True
-        is_read = self._membership.poll()
-        self._note()
-        return is_read or self._ask_seeds()
+        was_read = self._membership.poll()
+        self._record_change()
+        return was_read or self._ask_seeds()
 
     def _sources(self) -> list[str]:
         return watchers.choose(
@@ -131,7 +131,7 @@
         )
 
     def _ask_seeds(self) -> bool:
-        """Learns the list from a seed, for a VM that knows no peer yet."""
+        """Gets the list from the seeds, if this VM has never read one."""
         if self._membership.age_s() is not None:
             return False
         for address in self._seeds:
@@ -139,41 +139,41 @@
                 address, ReadVmList(b""), _PEER_TIMEOUT_S
             )
             if answer.is_ok():
-                self._take(answer.unwrap())
+                self._apply(answer.unwrap())
         return self._membership.age_s() is not None
 
-    def _take(self, change: VmListChange) -> bool:
-        """Takes what a peer told; false if the platform was not read lately."""
+    def _apply(self, change: VmListChange) -> bool:
+        """Applies a peer's change; returns false if the list is too old."""
         if change.age_s < 0:
             return False
         own_age_s = self._membership.age_s()
-        # The other watcher may have told of a later list; going back to an
-        # earlier one would make a VM that has just started seem gone.
+        # The other reader may already have sent a later list. Going back to
+        # an earlier one would make a VM that has just started seem gone.
         if own_age_s is not None and change.age_s > own_age_s:
             return own_age_s <= self._lag_s
         if not change.is_whole and not change.rows and not change.gone:
-            self._membership.confirm(change.age_s)
+            self._membership.confirm_list(change.age_s)
             return change.age_s <= self._lag_s
-        rows = {} if change.is_whole else dict(self._known)
+        rows = {} if change.is_whole else dict(self._rows)
         rows.update({row.vm: row for row in change.rows})
         for vm in change.gone:
             rows.pop(vm, None)
-        self._membership.learn(tuple(rows.values()), change.age_s)
-        self._note()
+        self._membership.replace_list(tuple(rows.values()), change.age_s)
+        self._record_change()
         return change.age_s <= self._lag_s
 
-    def _note(self) -> None:
-        """Remembers how the list changed, for those who ask."""
+    def _record_change(self) -> None:
+        """Records the latest change of the list, to answer peers."""
         rows = {row.vm: row for row in self._membership.rows()}
         with self._lock:
-            if rows == self._known:
+            if rows == self._rows:
                 return
             changed = tuple(
-                row for vm, row in rows.items() if self._known.get(vm) != row
+                row for vm, row in rows.items() if self._rows.get(vm) != row
             )
-            gone = tuple(vm for vm in self._known if vm not in rows)
-            self._steps.append(_Step(self._digest, changed, gone))
-            self._known = rows
+            gone = tuple(vm for vm in self._rows if vm not in rows)
+            self._changes.append(_ListChange(self._digest, changed, gone))
+            self._rows = rows
             self._digest = _digest(rows)
 
     def _on_read(self, vm: str, message: ReadVmList) -> Any:
@@ -184,23 +184,32 @@
         with self._lock:
             if message.digest == self._digest:
                 return VmListChange(age_s)
-            return self._since(message.digest, age_s)
+            return self._change_since(message.digest, age_s)
 
-    def _since(self, digest: bytes, age_s: float) -> VmListChange:
-        steps = list(self._steps)
+    def _change_since(self, digest: bytes, age_s: float) -> VmListChange:
+        changes = list(self._changes)
         first = next(
-            (n for n, step in enumerate(steps) if step.before == digest), None
+            (
+                n
+                for n, change in enumerate(changes)
+                if change.digest_before == digest
+            ),
+            None,
         )
         if first is None:
-            rows = tuple(self._known.values())
+            rows = tuple(self._rows.values())
             return VmListChange(age_s, True, rows)
-        touched = {row.vm for step in steps[first:] for row in step.rows}
-        touched |= {vm for step in steps[first:] for vm in step.gone}
+        changed_vms = {
+            row.vm for change in changes[first:] for row in change.rows
+        }
+        changed_vms |= {vm for change in changes[first:] for vm in change.gone}
         return VmListChange(
             age_s,
             False,
-            tuple(self._known[vm] for vm in sorted(touched & set(self._known))),
-            tuple(sorted(touched - set(self._known))),
+            tuple(
+                self._rows[vm] for vm in sorted(changed_vms & set(self._rows))
+            ),
+            tuple(sorted(changed_vms - set(self._rows))),
         )
 
     def _run(self) -> None:
--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -1,4 +1,4 @@
-"""The daemon as it is put together, against the stand-in platform."""
+"""Tests of the assembled daemon, against the stand-in platform."""
 
 from bulrushdeal import records
 from bulrushdeald import assembly
@@ -8,12 +8,12 @@
 from support import controlplane
 
 
-def test_a_vm_that_comes_later_is_seen_by_a_running_daemon() -> None:
+def test_a_running_daemon_sees_a_new_vm() -> None:
     """A VM is replaced while a daemon runs.
 
-    The daemon went on calling the old VM and never called the new one. The
-    list of VMs was read at the start only: the service that reads it again
-    was written, but not registered.
+    The daemon kept calling the old VM and never called the new one. It read
+    the list of VMs only at the start, because the service that updates the
+    list was not registered.
     """
     served = platform.Platform()
     served.start()
@@ -29,7 +29,7 @@
 
 
 def test_idempotency_keys_are_swept() -> None:
-    # Keys of requests long answered filled the platform's service. The
-    # sweeper was written and tested but not registered.
+    # Keys of requests answered long ago filled the platform's key-value
+    # service, because the sweeper was not registered.
     kernel = assembly.assemble(controlplane.settings("127.0.0.1:1"))
     assert kernel.has(sweeper.SWEEPER)
--- a/tests/daemon/test_keyvalue.py
+++ b/tests/daemon/test_keyvalue.py
@@ -1,9 +1,10 @@
-"""Writes whose answers are lost, against what the platform really held.
+"""Tests of writes whose answers are lost.
 
-Story: an operator's edit takes effect and its answer is lost, or the edit
-itself is still on its way when the client reads back; others write in
-between. A user is told that an edit failed which is in force, or that it
-is in force when it never was. Cause: the client guessed.
+They compare the reported outcomes with the values that the platform held, and
+guard against a client that guesses: it reported an edit in force as failed,
+or a failed edit as in force. This happened when the answer was lost, or the
+edit was still in transit when the client read the key back, and others wrote
+in between.
 """
 
 import base64
@@ -26,19 +27,19 @@
 KEY = "config/customers/00"
 
 
-class Late(NamedTuple):
+class DelayedPut(NamedTuple):
     body: bytes
     expected_revision: int
 
 
 class FlakyCaller:
-    """Answers from a keyspace; each call meets the next fate drawn."""
+    """Answers from a keyspace; `draw` returns what happens to each call."""
 
     def __init__(self, space: keyspace.Keyspace, draw: Callable[[], str]):
         self.space = space
         self.draw = draw
-        self.late: list[Late] = []
-        self.others: Callable[[], None] = lambda: None
+        self.delayed: list[DelayedPut] = []
+        self.write_by_others: Callable[[], None] = lambda: None
 
     def call(
         self,
@@ -50,28 +51,28 @@
         wait_s: float = 0.0,
         etag: str = "",
     ) -> Any:
-        fate = self.draw()
-        if fate == "others write":
-            self.others()
-        elif fate == "bare write":
+        event = self.draw()
+        if event == "others write":
+            self.write_by_others()
+        elif event == "bare write":
             now = self.space.get(KEY)
             self.space.put(KEY, b"bare", now.revision if now else 0)
-        elif fate == "late arrives" and self.late:
-            late = self.late.pop()
-            self.space.put(KEY, late.body, late.expected_revision)
-        elif fate == "not sent":
-            return result.Err(platformclient.CallError("not_sent", fate))
-        lost = result.Err(platformclient.CallError("lost", fate))
+        elif event == "late arrives" and self.delayed:
+            delayed = self.delayed.pop()
+            self.space.put(KEY, delayed.body, delayed.expected_revision)
+        elif event == "not sent":
+            return result.Err(platformclient.CallError("not_sent", event))
+        lost = result.Err(platformclient.CallError("lost", event))
         if kind == "put":
             expected = int((fields or {})["expected_revision"])
-            if fate == "delayed":
-                self.late.append(Late(body or b"", expected))
+            if event == "delayed":
+                self.delayed.append(DelayedPut(body or b"", expected))
                 return lost
             answer = self.put(body or b"", expected)
         else:
             held = self.space.get(parse.unquote(path.removeprefix("/v1/kv/")))
             answer = platformclient.Answer(200 if held else 404, row(held))
-        return lost if fate in ("delayed", "lost") else result.Ok(answer)
+        return lost if event in ("delayed", "lost") else result.Ok(answer)
 
     def put(self, body: bytes, expected: int) -> platformclient.Answer:
         revision, held = self.space.put(KEY, body, expected)
@@ -94,16 +95,16 @@
 
 
 class RecordingKeyspace(keyspace.Keyspace):
-    """Remembers each value that was ever held."""
+    """Records every value that was stored."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.ever: list[bytes] = []
+        self.history: list[bytes] = []
 
     def put(self, key: str, value: bytes, *given: Any) -> Any:
         done = super().put(key, value, *given)
         if done[0]:
-            self.ever.append(value)
+            self.history.append(value)
         return done
 
 
@@ -116,7 +117,7 @@
     )
 
 
-FATES = (
+EVENTS = (
     "answered",
     "answered",
     "lost",
@@ -129,19 +130,19 @@
 
 
 @given(st.data())
-def test_what_a_put_says_is_true(data: st.DataObject) -> None:
+def test_the_reported_outcome_of_a_put_is_true(data: st.DataObject) -> None:
     space = RecordingKeyspace()
     other = client(FlakyCaller(space, lambda: "answered"))
-    fates = st.sampled_from(FATES)
-    caller = FlakyCaller(space, lambda: data.draw(fates))
+    events = st.sampled_from(EVENTS)
+    caller = FlakyCaller(space, lambda: data.draw(events))
     writer = client(caller)
 
     def others_write() -> None:
         held = other.get(KEY).unwrap()
         other.put(KEY, b"other", held.revision if held else 0)
 
-    caller.others = others_write
-    said: list[tuple[bytes, str]] = []
+    caller.write_by_others = others_write
+    outcomes: list[tuple[bytes, str]] = []
     for number in range(data.draw(st.integers(1, 4))):
         read = writer.get(KEY)
         if read.is_err():
@@ -150,28 +151,28 @@
         expected = held.revision if held else 0
         value = b"own %d" % number
         put = writer.put(KEY, value, expected)
-        said.append((value, "ok" if put.is_ok() else put.unwrap_err().kind))
+        outcomes.append((value, "ok" if put.is_ok() else put.unwrap_err().kind))
         if put.is_ok():
             now = space.get(KEY)
             assert now is not None
             assert expected < put.unwrap() <= now.revision
             if put.unwrap() == now.revision:
                 assert now.value.endswith(value)
-    # What was on its way all the time arrives in the end.
-    for late in caller.late:
-        space.put(KEY, late.body, late.expected_revision)
-    for value, outcome in said:
-        count = sum(held.endswith(value) for held in space.ever)
+    # Finally, all delayed writes arrive.
+    for delayed in caller.delayed:
+        space.put(KEY, delayed.body, delayed.expected_revision)
+    for value, outcome in outcomes:
+        count = sum(held.endswith(value) for held in space.history)
         assert count <= 1
         if outcome == "ok":
-            assert count == 1, (value, said)
+            assert count == 1, (value, outcomes)
         elif outcome in ("conflict", "unavailable"):
-            assert count == 0, (value, outcome, said)
+            assert count == 0, (value, outcome, outcomes)
 
 
-def test_a_lost_write_that_another_beat_is_a_conflict() -> None:
-    # An operator whose edit came too late reads that its outcome is unknown,
-    # though what is held shows every write since and not this one.
+def test_a_write_that_lost_to_another_is_a_conflict() -> None:
+    # An operator's edit lost to another writer and was reported as unknown,
+    # although the stored nonces show every write since, and not this one.
     space = RecordingKeyspace()
     other = client(FlakyCaller(space, lambda: "answered"))
     first = other.put(KEY, b"first", 0).unwrap()
@@ -179,15 +180,15 @@
     def others_write() -> None:
         other.put(KEY, b"other", first).unwrap()
 
-    fates = iter(("answered", "delayed", "others write"))
-    caller = FlakyCaller(space, lambda: next(fates))
-    caller.others = others_write
+    events = iter(("answered", "delayed", "others write"))
+    caller = FlakyCaller(space, lambda: next(events))
+    caller.write_by_others = others_write
     writer = client(caller)
     assert writer.get(KEY).unwrap() is not None
     assert writer.put(KEY, b"own", first).unwrap_err().kind == "conflict"
 
 
-def test_a_lost_answer_is_known_by_its_nonce_over_http() -> None:
+def test_a_lost_answer_is_resolved_by_its_nonce_over_http() -> None:
     served = platform.Platform()
     served.start()
     settings = controlplane.settings(served.address)
@@ -198,21 +199,21 @@
     assert held is not None
     assert (held.value, held.revision) == (b"first", revision)
     assert one.dump()["settled"] == {"known": 1}
-    # The same of a deletion: sent once more, it finds nothing to delete.
+    # Likewise a repeated deletion finds nothing to delete.
     other = one.put("other", b"", 0).unwrap()
     served.fault(lose_next_answers=1)
     assert one.delete("other", other).is_ok()
     assert one.get("other").unwrap() is None
     served.fault(kv_outage=True)
     assert one.get(KEY).unwrap_err().kind == "unavailable"
-    # The bytes have left, so it may still take effect.
+    # The bytes were sent, so the write may still take effect.
     assert one.put(KEY, b"second", revision).unwrap_err().kind == "unknown"
     served.stop(0.1)
-    # Nobody listens: no byte has left.
+    # The platform does not listen, so no byte was sent.
     assert one.put(KEY, b"third", revision).unwrap_err().kind == "unavailable"
 
 
-def test_watch_tells_of_changes_and_deletions() -> None:
+def test_watch_returns_changes_and_deletions() -> None:
     served = platform.Platform()
     served.start()
     one = keyvalue.HttpKeyValue(
--- a/tests/daemon/test_main.py
+++ b/tests/daemon/test_main.py
@@ -1,19 +1,19 @@
-"""Tests of the daemon's program: its arguments, and what it keeps."""
+"""Tests of the arguments of the daemon's program."""
 
 import pytest
 
 from bulrushdeald import main
 
 
-def run(monkeypatch: pytest.MonkeyPatch, *words: str) -> object:
-    monkeypatch.setattr("sys.argv", ["bulrushdeald", *words])
+def run(monkeypatch: pytest.MonkeyPatch, *arguments: str) -> object:
+    monkeypatch.setattr("sys.argv", ["bulrushdeald", *arguments])
     with pytest.raises(SystemExit) as ended:
         main.main()
     return ended.value.code
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         (),
         ("--failure-domain", "north"),
@@ -21,23 +21,23 @@
         ("serve", "--failure-domain", "north"),
     ],
 )
-def test_settings_alone_mean_serve(
+def test_settings_without_a_command_mean_serve(
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
-    words: tuple[str, ...],
+    arguments: tuple[str, ...],
 ) -> None:
-    # An operator leaves `serve` out and reads that there is no command
-    # `north`. Cause: only `--vm` in the first place was taken for a setting.
+    # Without `serve`, the program reported an unknown command `north`,
+    # because it recognized only `--vm` as a first setting.
     monkeypatch.delenv("BULRUSHDEAL_VM", raising=False)
-    assert run(monkeypatch, *words) == 2
+    assert run(monkeypatch, *arguments) == 2
     assert "--vm: missing" in capsys.readouterr().err
 
 
-@pytest.mark.parametrize("word", ["--help", "-h"])
+@pytest.mark.parametrize("argument", ["--help", "-h"])
 def test_help_lists_the_commands(
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
-    word: str,
+    argument: str,
 ) -> None:
-    assert run(monkeypatch, word) == 0
+    assert run(monkeypatch, argument) == 0
     assert "Serve callers" in capsys.readouterr().out
--- a/tests/daemon/test_membership.py
+++ b/tests/daemon/test_membership.py
@@ -1,8 +1,8 @@
-"""The lagging list of VMs, over outages and with few calls.
+"""Tests of the list of VMs, which lags and must survive outages.
 
-Story: a VM has just started and serves; the list lags and another VM reads
-one without it. The others take it for gone, hand its share of a customer's
-rate to somebody else, and the customer gets more than its row allows.
+They guard against taking a running VM for gone. A VM that has just started
+may be missing from a lagging list; if its share of a customer's rate went to
+another VM, the customer would get more than its row allows.
 """
 
 import functools
@@ -21,7 +21,7 @@
     return records.Vm(vm, "d", "entry", "h:1", state)
 
 
-def knows_vms(held: membership.PlatformMembership, count: int) -> bool:
+def lists_vms(held: membership.PlatformMembership, count: int) -> bool:
     return len(held.entry_vms()) == count
 
 
@@ -34,42 +34,42 @@
     return made, clock
 
 
-def test_one_read_without_a_vm_does_not_make_it_gone() -> None:
+def test_a_vm_missing_from_one_read_still_counts_as_listed() -> None:
     held, clock = make("127.0.0.1:1")
-    held.learn((entry("a"), entry("b")), 0.0)
-    held.learn((entry("a"),), 0.0)
+    held.replace_list((entry("a"), entry("b")), 0.0)
+    held.replace_list((entry("a"),), 0.0)
     assert held.is_listed("b")
     assert held.is_listed("new")
     clock.now_s += LAG_S - 1
-    held.confirm(0.0)
+    held.confirm_list(0.0)
     assert held.is_listed("b")
-    # An earlier list still came through, so the count begins anew.
-    held.learn((entry("a"), entry("b")), 0.0)
-    held.learn((entry("a"),), 0.0)
+    # An earlier list with the VM still arrives, so the lag starts anew.
+    held.replace_list((entry("a"), entry("b")), 0.0)
+    held.replace_list((entry("a"),), 0.0)
     clock.now_s += LAG_S - 1
-    held.confirm(0.0)
+    held.confirm_list(0.0)
     assert held.is_listed("b")
     clock.now_s += 1
-    # Without a read there is nothing new to go by.
+    # Without a new read, the VM still counts as listed.
     assert held.is_listed("b")
-    held.confirm(0.0)
+    held.confirm_list(0.0)
     assert not held.is_listed("b")
     assert held.is_listed("a")
 
 
-def test_an_old_answer_of_a_peer_does_not_count_as_a_read_now() -> None:
-    """The peer that tells was cut off from the platform for long."""
+def test_an_old_list_from_a_peer_is_not_a_current_read() -> None:
+    """The answering peer was cut off from the platform for a long time."""
     held, clock = make("127.0.0.1:1")
-    held.learn((entry("a"),), 0.0)
+    held.replace_list((entry("a"),), 0.0)
     assert held.is_listed("b")
     clock.now_s += 3 * LAG_S
-    held.confirm(2.5 * LAG_S)
+    held.confirm_list(2.5 * LAG_S)
     assert held.is_listed("b")
-    held.confirm(1.5 * LAG_S)
+    held.confirm_list(1.5 * LAG_S)
     assert not held.is_listed("b")
 
 
-def test_the_list_outlives_an_outage_and_every_vm_counts_before_it() -> None:
+def test_the_list_survives_outages_and_every_vm_is_listed_before_it() -> None:
     served = platform.Platform()
     served.start()
     served.fault(outage=True)
@@ -90,13 +90,13 @@
 
 
 def test_only_two_vms_of_a_domain_read_the_platforms_list() -> None:
-    """Each VM's reads would be counted: 1,200 VMs would need 600 a second."""
+    """If every VM read the list, 1,200 VMs would make 600 calls a second."""
     with controlplane.Fleet() as fleet:
         for number in range(5):
             fleet.add(f"vm-{number}", "d")
         for vm in fleet.vms:
             controlplane.wait_until(
-                functools.partial(knows_vms, vm.membership, 5)
+                functools.partial(lists_vms, vm.membership, 5)
             )
         before = [vm.membership.dump()["calls"]["vms"] for vm in fleet.vms]
         for vm in fleet.vms:
@@ -109,7 +109,7 @@
         ]
         assert readers == sorted(fleet.vms[0].vmlist.dump()["sources"])
         assert len(readers) == 2
-        # A change reaches those that do not read.
+        # Changes reach the VMs that do not read the platform.
         fleet.platform.remove_vm("vm-0")
         fleet.platform.set_vm(entry("extra", "leaving"))
         for vm in fleet.vms:
--- a/tests/daemon/test_operatordocs.py
+++ b/tests/daemon/test_operatordocs.py
@@ -1,4 +1,4 @@
-"""Tests that the operators' pages say what the code does."""
+"""Tests that the operators' pages match the code."""
 
 import ast
 from collections.abc import Iterator
@@ -18,11 +18,11 @@
 ]
 ALARM_LEVELS = ("error", "exception")
 _STATUS_AND_CODE = 2
-# Of a caller that has gone, and of batch items that are run again.
-UNSEEN = {"caller_left", "yielded", "cancelled", "upstream_error"}
+# Codes that no caller sees: the caller has left, or a batch item is repeated.
+INTERNAL_CODES = {"caller_left", "yielded", "cancelled", "upstream_error"}
 
 
-def test_settings_page_is_what_the_daemon_prints() -> None:
+def test_settings_page_has_the_table_that_the_daemon_prints() -> None:
     page = (PAGES / "settings.md").read_text()
     assert settings.describe(defaults.TABLE) in page, (
         "run `bulrushdeald settings` and put its table into the page"
@@ -44,18 +44,20 @@
 
 
 def test_each_code_that_a_caller_may_see_is_explained() -> None:
-    # A customer's developer asks what an error's code means, and no page
-    # has it. Cause: a refusal was added in the code alone.
-    told = "".join(
+    # A refusal was added to the code alone, and no page explained its code.
+    explained = "".join(
         (PAGES / name).read_text() for name in ("callers.md", "batch.md")
     )
     codes = {code for path in SOURCES for code in _codes(path)}
     assert "rate_limited" in codes
-    assert sorted(c for c in codes - UNSEEN if f"`{c}`" not in told) == []
+    assert (
+        sorted(c for c in codes - INTERNAL_CODES if f"`{c}`" not in explained)
+        == []
+    )
 
 
 def _codes(path: pathlib.Path) -> Iterator[str]:
-    """Yields the codes of refusals that a module writes out."""
+    """Yields the literal codes of refusals in a module."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.Call) or len(node.args) < _STATUS_AND_CODE:
             continue
--- a/tests/daemon/test_vmlist.py
+++ b/tests/daemon/test_vmlist.py
@@ -1,4 +1,4 @@
-"""The list of VMs as told from VM to VM."""
+"""Tests of passing the list of VMs between VMs."""
 
 from typing import Any
 
@@ -15,31 +15,31 @@
 
 
 class FakeMembership(platformfakes.FixedMembership):
-    """A list that is read from the test, as old as the test says."""
+    """A list whose rows and age the test sets."""
 
     def __init__(self, vm: str, rows: list[records.Vm]) -> None:
         super().__init__(vm, rows)
         self.platform: tuple[records.Vm, ...] | None = None
         self.known: tuple[records.Vm, ...] = ()
-        self.told_age_s: float | None = None
+        self.list_age_s: float | None = None
 
     def rows(self) -> tuple[records.Vm, ...]:
         return tuple(sorted(self.known))
 
     def age_s(self) -> float | None:
-        return self.told_age_s
+        return self.list_age_s
 
     def poll(self) -> bool:
         if self.platform is None:
             return False
-        self.learn(self.platform, 0.0)
+        self.replace_list(self.platform, 0.0)
         return True
 
-    def learn(self, rows: tuple[records.Vm, ...], age_s: float) -> None:
-        self.known, self.told_age_s = rows, age_s
+    def replace_list(self, rows: tuple[records.Vm, ...], age_s: float) -> None:
+        self.known, self.list_age_s = rows, age_s
 
-    def confirm(self, age_s: float) -> None:
-        self.told_age_s = age_s
+    def confirm_list(self, age_s: float) -> None:
+        self.list_age_s = age_s
 
 
 def make(
@@ -66,43 +66,43 @@
 
 
 @given(st.lists(st.tuples(lists, st.booleans()), max_size=8))
-def test_who_asks_holds_what_the_reader_read(told: list[Any]) -> None:
+def test_an_asking_vm_gets_the_readers_list(reads: list[Any]) -> None:
     network = platformfakes.Network()
     source = records.Vm("reader", "d", "entry", "h:1")
     reader, reading = make(network, "reader", [])
     reader.vms = [source]
     asker, asking = make(network, "asker", [source])
-    for rows, is_asked in told:
+    for rows, is_asked in reads:
         reader.platform = tuple(rows)
         assert reading.update()
         if is_asked:
             assert asking.update()
             assert asker.rows() == reader.rows()
-    if told:
+    if reads:
         assert asking.update()
         assert asker.rows() == reader.rows()
 
 
-def test_a_reader_that_is_behind_does_not_turn_the_list_back() -> None:
-    """One of the two readers of a domain was cut off and holds an old list.
+def test_an_outdated_reader_does_not_revert_the_list() -> None:
+    """One of the two readers of a domain was cut off and has an old list.
 
-    A VM that has just started is not in it and would seem gone.
+    The old list lacks a VM that has just started, which would then seem gone.
     """
     network = platformfakes.Network()
     source = records.Vm("reader", "d", "entry", "h:1")
     reader, reading = make(network, "reader", [])
     reader.vms = [source]
-    reader.learn((records.Vm("old", "d", "entry"),), 60.0)
+    reader.replace_list((records.Vm("old", "d", "entry"),), 60.0)
     reading.attach()
     asker, asking = make(network, "asker", [source])
     new = (records.Vm("new", "d", "entry"), records.Vm("old", "d", "entry"))
-    asker.learn(new, 5.0)
+    asker.replace_list(new, 5.0)
     assert asking.update()
     assert asker.rows() == new
-    # And who knows nothing yet takes even an old list over none, but goes
-    # on to the platform.
-    asker.learn((), 0.0)
-    asker.told_age_s = None
+    # A VM without a list takes even an old one, but still reads the
+    # platform.
+    asker.replace_list((), 0.0)
+    asker.list_age_s = None
     asker.platform = new
     assert asking.update()
     assert asker.rows() == new
