--- a/packages/daemon/bulrushdeald/peers.py
+++ b/packages/daemon/bulrushdeald/peers.py
@@ -22,7 +22,7 @@
 from bulrushdeald import wire
 
 _log = logs.Log("peers")
-_MAX_OUTGOING_LINKS = 128
+_MAX_LINKS = 128
 # Connections without a call for this long are closed.
 IDLE_S = 60.0
 _CLEANUP_INTERVAL_S = 5.0
@@ -39,10 +39,10 @@
 
 
 class _Backoff(NamedTuple):
-    """The wait before the next connection attempt after failures.
+    """The wait before the next attempt to connect to a VM.
 
     Attributes:
-        failures: Failed attempts in a row, at most 10.
+        failures: Failures in a row, with a lost connection as one; at most 10.
         until_s: The end of the wait, by the monotonic clock.
     """
 
@@ -224,9 +224,7 @@
             is_backing_off = backoff is not None and now_s < backoff.until_s
             if not target.address or is_backing_off or self._is_stopped():
                 return None
-            if len(self._links) >= _MAX_OUTGOING_LINKS and not self._close_idle(
-                0.0
-            ):
+            if len(self._links) >= _MAX_LINKS and not self._close_idle(0.0):
                 return None
             link = links.Link(
                 target,
--- a/packages/daemon/bulrushdeald/vmlist.py
+++ b/packages/daemon/bulrushdeald/vmlist.py
@@ -105,7 +105,7 @@
         self._thread.join(min(grace_s, _PEER_TIMEOUT_S))
 
     def dump(self) -> Any:
-        """Returns the readers of this VM's failure domain."""
+        """Returns the readers of this failure domain and a change count."""
         return {"sources": self._sources(), "steps": len(self._changes)}
 
     def update(self) -> bool:
