--- a/packages/daemon/bulrushdeald/configroutes.py
+++ b/packages/daemon/bulrushdeald/configroutes.py
@@ -44,7 +44,7 @@
         self._editor = edits.Editor(keyvalue, config)
 
     def list_customers(self, request: httpd.Request) -> httpd.Response:
-        """Answers all rows, each with its page's revision."""
+        """Responds with all rows, each with the revision of its page."""
         del request
         rows = [
             {**row._asdict(), "revision": self._page_revision(row.customer)}
@@ -58,10 +58,10 @@
         return held.revision if held else 0
 
     def put_customer(self, request: httpd.Request) -> httpd.Response:
-        """Adds a row or replaces it whole."""
+        """Adds or replaces a whole row."""
         body = replies.body_object(request)
         expected = body.pop("expected_revision", None)
-        name = _name(request, _CUSTOMERS)
+        name = _name_in_path(request, _CUSTOMERS)
         if body.setdefault("customer", name) != name:
             raise replies.BadRequestError(
                 "The path names another customer.", "customer"
@@ -73,18 +73,18 @@
         revision = replies.revision(expected, "expected_revision")
         edited = self._editor.edit(
             pages.customer_key(row.customer),
-            rewrites.put_customer(row, revision, self._opening(row)),
+            rewrites.put_customer(row, revision, self._opening_if_new(row)),
         )
-        return _answer(edited, row._asdict())
+        return _edit_response(edited, row._asdict())
 
-    def _opening(self, row: records.Customer) -> records.Opening | None:
+    def _opening_if_new(self, row: records.Customer) -> records.Opening | None:
         is_known = self._config.customer(row.customer) is not None
         if is_known or self._limits is None:
             return None
         return self._limits.opening(row)
 
     def patch_customer(self, request: httpd.Request) -> httpd.Response:
-        """Changes one cell if it still is as the operator saw it."""
+        """Changes one cell unless it has changed since the operator saw it."""
         body = replies.body_object(request)
         column = body.get("column", "")
         checked = table.check_cell(column, body.get("value"))
@@ -96,7 +96,8 @@
         )
         if expected_value is None and expected_revision is None:
             raise replies.BadRequestError(
-                "Say which value or revision you saw.", "expected_value"
+                "Give expected_value or expected_revision, as you saw them.",
+                "expected_value",
             )
         if expected_value is not None:
             seen = table.check_cell(column, expected_value)
@@ -104,7 +105,7 @@
                 return replies.table_errors((seen.unwrap_err(),))
             expected_value = seen.unwrap()
         change = edits.CellEdit(
-            _name(request, _CUSTOMERS),
+            _name_in_path(request, _CUSTOMERS),
             column,
             checked.unwrap(),
             expected_value,
@@ -113,27 +114,30 @@
         edited = self._editor.edit(
             pages.customer_key(change.customer), rewrites.set_cell(change)
         )
-        return _answer(
+        return _edit_response(
             edited, {"customer": change.customer, column: change.value}
         )
 
     def delete_customer(self, request: httpd.Request) -> httpd.Response:
         """Removes a row and withdraws its keys."""
-        name = _name(request, _CUSTOMERS)
+        name = _name_in_path(request, _CUSTOMERS)
         edited = self._editor.edit(
             pages.customer_key(name), rewrites.delete_customer(name)
         )
-        return _answer(edited, {"customer": name})
+        return _edit_response(edited, {"customer": name})
 
-    def post_customer(self, request: httpd.Request) -> httpd.Response:
-        """Makes a key, which is shown only in this answer."""
-        name = _name(request, _CUSTOMERS)
+    def create_key(self, request: httpd.Request) -> httpd.Response:
+        """Creates a customer's key; only this response contains the key."""
+        name = _name_in_path(request, _CUSTOMERS)
         if not name.endswith("/keys"):
             return replies.error(404, "not_found", "Nothing is here.")
         label = replies.body_object(request).get("label", "")
         is_text = isinstance(label, str) and label.isprintable()
         if not is_text or len(label) > _MAX_LABEL_CHARACTERS:
-            raise replies.BadRequestError("A label is a short text.", "label")
+            raise replies.BadRequestError(
+                "A label is a short printable text.",
+                "label",
+            )
         secret = "bd-" + secrets.token_urlsafe(_KEY_BYTES)
         row = records.Key(
             config_lib.hash_key(secret), name.removesuffix("/keys"), label
@@ -141,10 +145,10 @@
         edited = self._editor.edit(
             pages.customer_key(row.customer), rewrites.add_key(row)
         )
-        return _answer(edited, {"key": secret, **row._asdict()})
+        return _edit_response(edited, {"key": secret, **row._asdict()})
 
     def list_keys(self, request: httpd.Request) -> httpd.Response:
-        """Answers all keys, or one customer's, without their secrets."""
+        """Responds with all keys, or one customer's, without the secrets."""
         customer = replies.query(request).get("customer")
         rows = [
             row._asdict()
@@ -154,27 +158,30 @@
         return httpd.json_response(200, {"keys": rows})
 
     def withdraw_key(self, request: httpd.Request) -> httpd.Response:
-        """Withdraws the one key whose hash begins as the path says."""
-        prefix = _name(request, _KEYS).lower()
+        """Withdraws the only key whose hash begins with the path's prefix."""
+        prefix = _name_in_path(request, _KEYS).lower()
         if len(prefix) < _MIN_PREFIX_CHARACTERS:
             raise replies.BadRequestError(
-                f"Give {_MIN_PREFIX_CHARACTERS} characters or more."
+                f"Give {_MIN_PREFIX_CHARACTERS} or more characters of the hash."
             )
-        # Another VM may have made the key a moment ago.
+        # Another VM may have created the key just now, and this VM may not
+        # have received it yet.
         found = self._find_keys(prefix)
         if not found and self._config.feed.read_all():
             found = self._find_keys(prefix)
         if not found:
             return replies.error(404, "missing", "There is no such key.")
         if len(found) > 1:
-            message = f"{len(found)} keys begin so; give more characters."
+            message = (
+                f"{len(found)} keys have this prefix; give more characters."
+            )
             return replies.error(409, "ambiguous", message)
         row = found[0]._replace(withdrawn=True)
         edited = self._editor.edit(
             pages.customer_key(row.customer),
             rewrites.withdraw_key(row.key_hash),
         )
-        return _answer(edited, row._asdict())
+        return _edit_response(edited, row._asdict())
 
     def _find_keys(self, prefix: str) -> list[records.Key]:
         return [
@@ -184,7 +191,7 @@
         ]
 
     def export_table(self, request: httpd.Request) -> httpd.Response:
-        """Answers the table as CSV, with the revision it stands at."""
+        """Responds with the table as CSV and the configuration's revision."""
         del request
         revision = self._config.revision()
         data = table.write_csv(self._config.customers()).encode()
@@ -196,10 +203,10 @@
         return httpd.Response(200, headers, (data,))
 
     def import_table(self, request: httpd.Request) -> httpd.Response:
-        """Adds and replaces rows; rows the file does not name stay.
+        """Adds and replaces rows from CSV; rows not in the file stay.
 
-        With `dry_run=1` only says what would change. Each page is changed
-        as a whole or not at all.
+        With `dry_run=1` the response only lists what would change. The rows
+        of a page are changed all together or not at all.
         """
         query = replies.query(request)
         try:
@@ -216,7 +223,7 @@
         ]
         body: dict[str, Any] = {
             "rows": len(read.unwrap()),
-            "changed": [self._describe(row) for row in changed],
+            "changed": [self._summarize_change(row) for row in changed],
         }
         if query.get("dry_run", "0") not in ("", "0"):
             return httpd.json_response(200, {**body, "dry_run": True})
@@ -226,15 +233,15 @@
         problems = self._import_pages(changed, expected)
         if not problems:
             return httpd.json_response(200, body)
-        is_refused = all(row["code"] == "conflict" for row in problems)
+        has_only_conflicts = all(row["code"] == "conflict" for row in problems)
         return replies.error(
-            409 if is_refused else 503,
+            409 if has_only_conflicts else 503,
             "partial",
             "Some pages were not changed; import the file again.",
             pages=problems,
         )
 
-    def _describe(self, row: records.Customer) -> dict[str, Any]:
+    def _summarize_change(self, row: records.Customer) -> dict[str, Any]:
         held = self._config.customer(row.customer)
         before = None if held is None else held._asdict()
         return {"customer": row.customer, "old": before, "new": row._asdict()}
@@ -247,7 +254,7 @@
             by_page.setdefault(pages.customer_key(row.customer), []).append(row)
         problems: list[dict[str, Any]] = []
         for key, page_rows in sorted(by_page.items()):
-            found = [self._opening(row) for row in page_rows]
+            found = [self._opening_if_new(row) for row in page_rows]
             openings = tuple(opening for opening in found if opening)
             edited = self._editor.edit(
                 key, rewrites.put_rows(tuple(page_rows), expected, openings)
@@ -265,34 +272,34 @@
         return problems
 
     def list_upstreams(self, request: httpd.Request) -> httpd.Response:
-        """Answers all upstreams."""
+        """Responds with all upstreams."""
         del request
         rows = [codec.to_object(row) for row in self._config.upstreams()]
         return httpd.json_response(200, {"upstreams": rows})
 
     def put_upstream(self, request: httpd.Request) -> httpd.Response:
-        """Adds an upstream or replaces it whole."""
-        name = _name(request, _UPSTREAMS)
+        """Adds or replaces a whole upstream."""
+        name = _name_in_path(request, _UPSTREAMS)
         row = replies.body_message(request, records.Upstream, upstream=name)
         edited = self._editor.edit(
             pages.UPSTREAMS_KEY, rewrites.put_upstream(row)
         )
-        return _answer(edited, codec.to_object(row))
+        return _edit_response(edited, codec.to_object(row))
 
     def delete_upstream(self, request: httpd.Request) -> httpd.Response:
         """Removes an upstream."""
-        name = _name(request, _UPSTREAMS)
+        name = _name_in_path(request, _UPSTREAMS)
         edited = self._editor.edit(
             pages.UPSTREAMS_KEY, rewrites.delete_upstream(name)
         )
-        return _answer(edited, {"upstream": name})
+        return _edit_response(edited, {"upstream": name})
 
 
-def _name(request: httpd.Request, parent: str) -> str:
+def _name_in_path(request: httpd.Request, parent: str) -> str:
     return request.path.removeprefix(parent + "/")
 
 
-def _answer(
+def _edit_response(
     edited: result.Result[edits.Stored, edits.EditError],
     body: Mapping[str, Any],
 ) -> httpd.Response:
@@ -315,7 +322,7 @@
     server.route("PUT", _CUSTOMERS + "/", routes.put_customer)
     server.route("PATCH", _CUSTOMERS + "/", routes.patch_customer)
     server.route("DELETE", _CUSTOMERS + "/", routes.delete_customer)
-    server.route("POST", _CUSTOMERS + "/", routes.post_customer)
+    server.route("POST", _CUSTOMERS + "/", routes.create_key)
     server.route("GET", _TABLE, routes.export_table)
     server.route("POST", _TABLE, routes.import_table)
     server.route("GET", _KEYS, routes.list_keys)
--- a/packages/daemon/bulrushdeald/configstatus.py
+++ b/packages/daemon/bulrushdeald/configstatus.py
@@ -1,4 +1,4 @@
-"""Shows operators which revision is stored and where it is in force."""
+"""Reports to operators which revision each VM has in force."""
 
 from concurrent import futures
 from typing import Any, Literal, NamedTuple
@@ -11,24 +11,26 @@
 from bulrushdeald import pages
 from bulrushdeald import services
 
-_ASK_TIMEOUT_S = 1.0
-_ASK_THREADS = 16
+_STATUS_TIMEOUT_S = 1.0
+_STATUS_THREADS = 16
 
 VmConfigState = Literal["in_force", "behind", "starting", "cut_off"]
 
 
 class VmStatus(NamedTuple):
-    """What is in force on one VM, as far as this VM can tell.
+    """The configuration in force on one VM, as seen from this VM.
 
     Attributes:
-        vm: The VM.
-        failure_domain: Where it stands.
-        state: `cut_off`: it did not answer this VM, so what is in force
-            there is not known; it goes on serving what it had.
-        revision: The newest in force there, 0 if not known.
-        behind_pages: How many pages are older there than stored.
-        age_s: All changes accepted so long ago are in force there; less
-            than 0 if that is not known.
+        vm: The VM's name.
+        failure_domain: The VM's failure domain.
+        state: `in_force`: it has every stored page. `behind`: some pages are
+            older than stored. `starting`: it does not have every page yet.
+            `cut_off`: it did not answer this VM, so its configuration is
+            unknown; it continues to serve the one it had.
+        revision: The newest revision in force there, 0 if unknown.
+        behind_pages: The number of pages that are older there than stored.
+        age_s: Every change accepted more than this many seconds ago is in
+            force there; negative if unknown.
     """
 
     vm: str
@@ -40,7 +42,7 @@
 
 
 class ConfigStatus:
-    """Asks the platform and all entry VMs."""
+    """Compares the stored revisions with those of all entry VMs."""
 
     def __init__(
         self,
@@ -55,20 +57,20 @@
         self._peers = peers
 
     def list_vms(self, request: httpd.Request) -> httpd.Response:
-        """Answers the platform's list as it was read last."""
+        """Responds with the platform's list of VMs as it was last read."""
         del request
         rows = [row._asdict() for row in self._membership.rows()]
         body = {"vms": rows, "age_s": self._membership.age_s()}
         return httpd.json_response(200, body)
 
     def read(self, request: httpd.Request) -> httpd.Response:
-        """Answers the stored revision and each VM's."""
+        """Responds with the stored revision and the status of each VM."""
         del request
-        stored, is_known = self._stored()
+        stored, is_known = self._stored_revisions()
         rows = self._membership.entry_vms()
-        with futures.ThreadPoolExecutor(_ASK_THREADS, "status") as pool:
-            found = pool.map(lambda row: self._ask(row, stored), rows)
-            statuses = tuple(found)
+        with futures.ThreadPoolExecutor(_STATUS_THREADS, "status") as pool:
+            results = pool.map(lambda row: self._read_vm(row, stored), rows)
+            statuses = tuple(results)
         body: dict[str, Any] = {
             "platform": "answers" if is_known else "cut_off",
             "stored_revision": max(stored),
@@ -78,40 +80,48 @@
         }
         return httpd.json_response(200, body)
 
-    def _stored(self) -> tuple[tuple[int, ...], bool]:
-        """Returns the revisions stored, or those here without the platform."""
-        here = dict(
+    def _stored_revisions(self) -> tuple[tuple[int, ...], bool]:
+        """Returns the revisions of all pages in the platform.
+
+        Returns:
+            The revisions, and whether the platform answered; if it did not,
+            they are the revisions in force on this VM.
+        """
+        revisions_by_key = dict(
             zip(pages.all_keys(), self._config.revisions(), strict=True)
         )
-        # Only pages later than the oldest change this VM may lack come back.
-        since = self._config.feed.watched_revision
-        changed = self._keyvalue.watch(pages.PREFIX, since, 0.0)
+        # This VM has every change up to `watched_revision`, so the platform
+        # only needs to return the pages that changed after it.
+        watched_revision = self._config.feed.watched_revision
+        changed = self._keyvalue.watch(pages.PREFIX, watched_revision, 0.0)
         if changed.is_err():
-            return tuple(here.values()), False
+            return tuple(revisions_by_key.values()), False
         for entry in changed.unwrap():
-            if entry.key in here:
-                here[entry.key] = max(here[entry.key], entry.revision)
-        return tuple(here.values()), True
+            if entry.key in revisions_by_key:
+                revisions_by_key[entry.key] = max(
+                    revisions_by_key[entry.key], entry.revision
+                )
+        return tuple(revisions_by_key.values()), True
 
-    def _ask(self, row: records.Vm, stored: tuple[int, ...]) -> VmStatus:
+    def _read_vm(self, row: records.Vm, stored: tuple[int, ...]) -> VmStatus:
         answer = self._peers.call(
-            row.vm, configsync.ReadStatus(), _ASK_TIMEOUT_S
+            row.vm, configsync.ReadStatus(), _STATUS_TIMEOUT_S
         )
         if answer.is_err():
             return VmStatus(row.vm, row.failure_domain, "cut_off", 0, 0, -1.0)
-        there: configsync.PeerStatus = answer.unwrap()
+        peer: configsync.PeerStatus = answer.unwrap()
         behind = sum(
             held < wanted
-            for held, wanted in zip(there.revisions, stored, strict=False)
+            for held, wanted in zip(peer.revisions, stored, strict=False)
         )
         state: VmConfigState = "behind" if behind else "in_force"
-        if not there.is_ready:
+        if not peer.is_ready:
             state = "starting"
         return VmStatus(
             row.vm,
             row.failure_domain,
             state,
-            max(there.revisions),
+            max(peer.revisions),
             behind,
-            round(there.age_s, 3),
+            round(peer.age_s, 3),
         )
--- a/packages/daemon/bulrushdeald/configsync.py
+++ b/packages/daemon/bulrushdeald/configsync.py
@@ -1,4 +1,4 @@
-"""The messages by which VMs pass the configuration on to each other."""
+"""The messages with which VMs exchange the configuration."""
 
 from typing import NamedTuple
 
@@ -7,32 +7,33 @@
 
 
 class PushChanges(NamedTuple):
-    """Passes on what a VM has just learned."""
+    """Sends changes that are new to the sender."""
 
     changes: tuple[pages.Change, ...]
 
 
 class PushAnswer(NamedTuple):
-    """Says how many of the changes were new to the VM."""
+    """The number of pushed changes that the receiver applied."""
 
     new_changes: int
 
 
 class CompareRevisions(NamedTuple):
-    """Asks whether the peer holds anything later."""
+    """Asks a peer for its revisions unless its digest is the same."""
 
     digest: bytes
 
 
 class PeerRevisions(NamedTuple):
-    """The answer to a comparison.
+    """The answer to `CompareRevisions`.
 
     Attributes:
-        is_ready: Whether the peer holds every page.
+        is_ready: Whether the peer has every page.
         is_same: Whether the digests are the same.
-        revisions: In the order of `pages.all_keys`; empty if the same.
-        age_s: All changes accepted so long ago are in force at the peer;
-            less than 0 if it was never confirmed.
+        revisions: The peer's revision of each page, in the order of
+            `pages.all_keys`; empty if the digests are the same.
+        age_s: Every change accepted more than this many seconds ago is in
+            force at the peer; negative if that was never confirmed.
     """
 
     is_ready: bool
@@ -48,23 +49,24 @@
 
 
 class FetchedPages(NamedTuple):
-    """Some of the pages asked for, as many as one answer may hold."""
+    """The requested pages, or as many of them as fit in one answer."""
 
-    pages: tuple[pageset.PageAt, ...]
+    pages: tuple[pageset.VersionedPage, ...]
 
 
 class ReadStatus(NamedTuple):
-    """Asks what is in force on a VM."""
+    """Asks a VM which revisions it has in force."""
 
 
 class PeerStatus(NamedTuple):
-    """What is in force on a VM.
+    """The revisions in force on a VM.
 
     Attributes:
-        is_ready: Whether it has a configuration.
-        revisions: In the order of `pages.all_keys`.
-        age_s: All changes accepted so long ago are in force there; less
-            than 0 if it was never confirmed.
+        is_ready: Whether the VM has every page.
+        revisions: The revision of each page, in the order of
+            `pages.all_keys`.
+        age_s: Every change accepted more than this many seconds ago is in
+            force there; negative if that was never confirmed.
     """
 
     is_ready: bool
--- a/packages/daemon/bulrushdeald/edits.py
+++ b/packages/daemon/bulrushdeald/edits.py
@@ -10,24 +10,24 @@
 from bulrushdeald import pages
 from bulrushdeald import services
 
-# So many writers may come between before an edit is given up on.
+# An edit is given up after this many writes lost to concurrent writers.
 _MAX_ATTEMPTS = 20
 
 
 class EditError(NamedTuple):
-    """An edit that was not accepted, or not surely.
+    """An edit that was not accepted, or whose outcome is unknown.
 
     Attributes:
-        kind: `conflict`: the thing was changed by somebody else, as
-            `current` shows. `invalid`: the edit itself is wrong.
-            `missing`: there is no such thing. `unavailable`: the platform
-            does not answer; nothing was changed. `unknown`: it may or may
-            not have been changed.
-        message: For the operator.
-        column: The column or field that is wrong.
-        expected: What the operator saw, on a conflict.
-        current: What is stored, on a conflict.
-        yours: What the operator wanted, on a conflict.
+        kind: `conflict`: somebody else changed the edited item, as `current`
+            shows. `invalid`: the edit itself is wrong. `missing`: the edited
+            item does not exist. `unavailable`: the platform does not answer,
+            the stored page cannot be read or it changes too often; nothing
+            was changed. `unknown`: the edit may or may not have been stored.
+        message: A sentence for the operator.
+        column: The column or field that is wrong, empty if none is.
+        expected: On a conflict, the value the operator saw.
+        current: On a conflict, the stored value.
+        yours: On a conflict, the value the operator submitted.
     """
 
     kind: Literal["conflict", "invalid", "missing", "unavailable", "unknown"]
@@ -39,21 +39,23 @@
 
 
 class Stored(NamedTuple):
-    """A page as the platform holds it; revision 0 if nothing was stored."""
+    """A page as stored in the platform; revision 0 if it was never stored."""
 
     page: pages.Page
     revision: int
 
 
 class CellEdit(NamedTuple):
-    """One cell's change, and what the operator saw before.
+    """A new value of one cell, and the state that the operator saw before.
 
     Attributes:
-        customer: The row.
-        column: The column.
+        customer: The name of the customer whose row is edited.
+        column: The column's name.
         value: The new value.
-        expected_value: The value seen; `None` if only the revision counts.
-        expected_revision: The page's revision seen; `None` if not given.
+        expected_value: The value that the operator saw; `None` to compare
+            the revision instead.
+        expected_revision: The page's revision that the operator saw; `None`
+            if not given.
     """
 
     customer: str
@@ -67,7 +69,7 @@
 
 
 class Editor:
-    """Applies edits; an accepted one is in force on this VM at once."""
+    """Writes edits to the platform and puts them in force on this VM."""
 
     def __init__(
         self, keyvalue: services.KeyValue, config: config_lib.ConfigService
@@ -78,20 +80,20 @@
     def edit(
         self, key: str, rewrite: Rewrite
     ) -> result.Result[Stored, EditError]:
-        """Rewrites a page until no other writer came between.
+        """Rewrites a page, and retries while other writers interfere.
 
         Args:
-            key: The page.
-            rewrite: Makes the new page of the stored one, or refuses; it is
-                called again with the newer page if another writer was
+            key: The page's key.
+            rewrite: Returns the new page for the stored one, or an error. It
+                is called again with the newer page if another writer was
                 faster.
 
         Returns:
-            The page as the platform holds it now: the edit was accepted.
+            The page as stored after the edit, or why it was not accepted.
         """
         read = self._keyvalue.get(key)
         if read.is_err():
-            return result.Err(_from_keyvalue(read.unwrap_err()))
+            return result.Err(_from_keyvalue_error(read.unwrap_err()))
         entry = read.unwrap()
         for _ in range(_MAX_ATTEMPTS):
             decoded = _decode(key, entry)
@@ -104,10 +106,13 @@
             if isinstance(error, EditError):
                 return result.Err(error)
             if error.kind != "conflict":
-                return result.Err(_from_keyvalue(error))
+                return result.Err(_from_keyvalue_error(error))
             entry = error.current
         return result.Err(
-            EditError("unavailable", f"{key} is being changed all the time.")
+            EditError(
+                "unavailable",
+                f"{key} is being changed all the time; try again.",
+            )
         )
 
     def _write(
@@ -137,12 +142,12 @@
     try:
         return result.Ok(Stored(pages.decode(entry.value), entry.revision))
     except codec.CodecError as error:
-        # To write over it would lose what a newer program may have stored.
+        # Overwriting the page would lose what a newer version may have stored.
         message = f"{key} cannot be read: {error}."
         return result.Err(EditError("unavailable", message))
 
 
-def _from_keyvalue(error: services.KeyValueError) -> EditError:
+def _from_keyvalue_error(error: services.KeyValueError) -> EditError:
     if error.kind == "unknown":
         message = "It is unknown whether the change was accepted."
         return EditError("unknown", f"{message} {error.message}")
--- a/packages/daemon/bulrushdeald/pages.py
+++ b/packages/daemon/bulrushdeald/pages.py
@@ -1,8 +1,8 @@
-"""The pages that the operators' configuration is kept in, and changes.
+"""The pages that store the operators' configuration, and their changes.
 
-A page is one value of the platform's key-value service and changes as a
-whole, by compare-and-swap. What goes between VMs is the difference of two
-revisions of a page, since an edit touches a row or two of some hundred.
+A page is one value in the platform's key-value service and is replaced as a
+whole, by compare-and-swap. VMs send each other the difference between two
+revisions of a page, since an edit touches one or two of some hundred rows.
 """
 
 import hashlib
@@ -18,20 +18,20 @@
 CUSTOMER_PAGES = 64
 UPSTREAMS_KEY = "config/upstreams"
 _CUSTOMERS_PREFIX = "config/customers/"
-# The platform holds values up to a megabyte; the envelope needs some.
+# The platform accepts values of up to one megabyte, including the envelope.
 MAX_PAGE_BYTES = 950_000
 _DIGEST_BYTES = 8
 
 
 class Page(NamedTuple):
-    """What one key under `config/` holds.
+    """The value of one key under `config/`.
 
     Attributes:
-        customers: Rows by name; empty in the page of upstreams.
-        keys: The customers' keys by hash, withdrawn ones too: a withdrawn
-            key stays, so that nothing can bring it back.
-        upstreams: Rows by name; empty in a customers' page.
-        openings: Of customers made lately, by name.
+        customers: Rows in order of name; empty in the page of upstreams.
+        keys: The customers' keys in order of hash. A withdrawn key keeps its
+            row, so that it cannot become valid again.
+        upstreams: Rows in order of name; empty in a page of customers.
+        openings: The openings of recently added customers, in order of name.
     """
 
     customers: tuple[records.Customer, ...] = ()
@@ -41,18 +41,18 @@
 
 
 class Change(NamedTuple):
-    """What turns one revision of a page into a later one.
+    """The difference between two revisions of a page.
 
     Attributes:
-        key: The page.
-        base_revision: What it applies to; 0 for an empty page.
-        revision: What it leads to.
-        digest: Of the page that it leads to.
-        rows: The rows that are new or other.
-        gone_customers: Names of rows that are no longer there.
-        gone_keys: Hashes of keys that are no longer there.
-        gone_upstreams: Names of rows that are no longer there.
-        gone_openings: Names of customers whose opening is no longer there.
+        key: The page's key.
+        base_revision: The revision it applies to; 0 for an empty page.
+        revision: The resulting revision.
+        digest: The digest of the resulting page, encoded.
+        rows: The rows that were added or changed.
+        gone_customers: Names of removed customers.
+        gone_keys: Hashes of removed keys.
+        gone_upstreams: Names of removed upstreams.
+        gone_openings: Names of customers whose opening was removed.
     """
 
     key: str
@@ -80,7 +80,7 @@
 
 
 def encode(page: Page) -> bytes:
-    """Returns the value to store."""
+    """Returns the page as it is stored in the platform."""
     return cbor2.dumps(codec.to_array(page))
 
 
@@ -88,18 +88,18 @@
     """Returns the page in a stored value.
 
     Raises:
-        codec.CodecError: Not a page.
+        codec.CodecError: The value is not an encoded page.
     """
     try:
         plain = cbor2.loads(value)
     except (cbor2.CBORDecodeError, ValueError, RecursionError) as error:
         raise codec.CodecError(f"not a page: {error}") from error
-    return _with_shared_names(codec.from_plain(Page, plain))
+    return _with_interned_names(codec.from_plain(Page, plain))
 
 
-def _with_shared_names(page: Page) -> Page:
-    # A customer's name stands in its row and in each of its keys; shared,
-    # it is held once.
+def _with_interned_names(page: Page) -> Page:
+    # A customer's name is in its row and in each of its keys. Interning
+    # keeps one copy of it in memory.
     intern = sys.intern
     customers = tuple(
         row._replace(customer=intern(row.customer)) for row in page.customers
@@ -114,7 +114,15 @@
 def diff(
     key: str, old: Page, base_revision: int, new: Page, revision: int
 ) -> Change:
-    """Returns what turns `old` into `new`."""
+    """Returns the change from `old` to `new`.
+
+    Args:
+        key: The page's key.
+        old: The page at `base_revision`.
+        base_revision: The revision of `old`; 0 for an empty page.
+        new: The page at `revision`.
+        revision: The revision of `new`.
+    """
     rows = Page(
         tuple(sorted(set(new.customers) - set(old.customers))),
         tuple(sorted(set(new.keys) - set(old.keys))),
@@ -127,31 +135,31 @@
         revision,
         digest(encode(new)),
         rows,
-        _gone(
+        _removed(
             [row.customer for row in old.customers],
             [row.customer for row in new.customers],
         ),
-        _gone(
+        _removed(
             [row.key_hash for row in old.keys],
             [row.key_hash for row in new.keys],
         ),
-        _gone(
+        _removed(
             [row.upstream for row in old.upstreams],
             [row.upstream for row in new.upstreams],
         ),
-        _gone(
+        _removed(
             [row.customer for row in old.openings],
             [row.customer for row in new.openings],
         ),
     )
 
 
-def _gone(old: list[str], new: list[str]) -> tuple[str, ...]:
+def _removed(old: list[str], new: list[str]) -> tuple[str, ...]:
     return tuple(sorted(set(old) - set(new)))
 
 
 def apply(page: Page, change: Change) -> Page:
-    """Returns the page after a change."""
+    """Returns the page with a change applied; checks no revision."""
     customers = {row.customer: row for row in page.customers}
     customers.update({row.customer: row for row in change.rows.customers})
     keys = {row.key_hash: row for row in page.keys}
@@ -177,16 +185,16 @@
     upstreams: dict[str, records.Upstream],
     openings: dict[str, records.Opening] | None = None,
 ) -> Page:
-    """Returns a page with its rows in order."""
-    opened = openings or {}
+    """Returns a page with its rows sorted by name or hash."""
+    openings_by_name = openings or {}
     return Page(
         tuple(customers[name] for name in sorted(customers)),
         tuple(keys[key_hash] for key_hash in sorted(keys)),
         tuple(upstreams[name] for name in sorted(upstreams)),
-        tuple(opened[name] for name in sorted(opened)),
+        tuple(openings_by_name[name] for name in sorted(openings_by_name)),
     )
 
 
 def digest(data: bytes) -> bytes:
-    """Returns a short name of some bytes."""
+    """Returns the first bytes of the SHA-256 of `data`."""
     return hashlib.sha256(data).digest()[:_DIGEST_BYTES]
--- a/packages/daemon/bulrushdeald/pageset.py
+++ b/packages/daemon/bulrushdeald/pageset.py
@@ -1,4 +1,4 @@
-"""The pages in force on one VM, and what is looked up in them."""
+"""The pages in force on one VM, with indexes for lookups."""
 
 from collections.abc import Callable
 import math
@@ -14,8 +14,8 @@
 _log = logs.Log("config")
 
 
-class PageAt(NamedTuple):
-    """A page as of a revision; 0 if nothing was ever stored."""
+class VersionedPage(NamedTuple):
+    """A page at a revision; revision 0 is a page that was never stored."""
 
     key: str
     revision: int
@@ -23,25 +23,27 @@
 
 
 class PageSet:
-    """All pages with an index; a page only ever moves to a later revision.
+    """All pages and their indexes; a page's revision only ever increases.
 
     Lookups take no lock: each reads one dictionary once.
 
     Attributes:
-        is_ready: Whether every page has come, so that this VM may serve.
+        is_ready: Whether every page was received, so that this VM may serve.
         customers: Rows by name.
-        keys: Keys by hash, withdrawn ones too.
-        openings: Of customers made lately, by name.
+        keys: Keys by hash, including withdrawn ones.
+        openings: The openings of recently added customers, by name.
         upstreams: Rows by name.
-        upstream_rows: The same rows in the order of their names.
-        models: What some engine serves.
-        plain_services: The plain services that there are.
+        upstream_rows: The rows of `upstreams` in order of name.
+        models: The names of all models that an upstream serves.
+        plain_services: The names of all plain services.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._order = pages.all_keys()
-        self._pages = {key: PageAt(key, 0, pages.Page()) for key in self._order}
+        self._page_keys = pages.all_keys()
+        self._pages = {
+            key: VersionedPage(key, 0, pages.Page()) for key in self._page_keys
+        }
         self._callbacks: list[Callable[[], None]] = []
         self._confirmed_s = -math.inf
         self.is_ready = False
@@ -53,29 +55,32 @@
         self.models: frozenset[str] = frozenset()
         self.plain_services: frozenset[str] = frozenset()
 
-    def offer(self, key: str, revision: int, page: pages.Page) -> PageAt | None:
-        """Puts a page in force if it is later than the one held.
+    def offer(
+        self, key: str, revision: int, page: pages.Page
+    ) -> VersionedPage | None:
+        """Puts a page in force if its revision is higher than the current one.
 
-        The failure: a change comes late, twice or out of order, or a slow
-        peer offers what it held before; an accepted change, such as a
-        withdrawn key, would be undone here. The platform gives each stored
-        page a higher revision than the one before, so what is not higher
-        than what is held is never newer.
+        Pages can arrive late, twice or out of order, and a slow peer can send
+        an old one; putting it in force would undo an accepted change, such as
+        a withdrawn key. The platform gives each stored page a higher revision
+        than its predecessor, so a page whose revision is not higher is never
+        newer.
 
         Returns:
-            What was held before, `None` if the offer is no later.
+            The page that was replaced; `None` if nothing was replaced.
         """
         with self._lock:
             held = self._pages.get(key)
             if held is None or revision <= held.revision:
                 return None
-            self._pages[key] = PageAt(key, revision, page)
+            self._pages[key] = VersionedPage(key, revision, page)
             self._index(held.page, page)
             return held
 
     def _index(self, old: pages.Page, new: pages.Page) -> None:
-        # New rows first: a reader in between never misses a row that stays.
-        # An opening comes before its row: who sees the row looks for it.
+        # New rows are added before old ones are removed, so that a concurrent
+        # reader never misses a row that stays. Openings are added before
+        # customers, since a reader that finds a customer looks up its opening.
         self.openings.update({row.customer: row for row in new.openings})
         self.customers.update({row.customer: row for row in new.customers})
         self.keys.update({row.key_hash: row for row in new.keys})
@@ -97,10 +102,11 @@
             if upstream.upstream not in kept_upstreams:
                 self.upstreams.pop(upstream.upstream, None)
         if old.upstreams != new.upstreams:
-            self._order_upstreams()
+            self._index_upstreams()
 
-    def _order_upstreams(self) -> None:
-        # Once a change and not once a request: there are thousands.
+    def _index_upstreams(self) -> None:
+        # Sorted at each change, not at each request: there are thousands of
+        # upstreams.
         rows = sorted(self.upstreams.items())
         self.upstream_rows = tuple(row for _, row in rows)
         self.models = frozenset(
@@ -110,74 +116,83 @@
             row.service for row in self.upstream_rows if row.service
         )
 
-    def change(self, change: pages.Change) -> PageAt | None:
-        """Applies a change if it is later and fits what is held.
+    def change(self, change: pages.Change) -> VersionedPage | None:
+        """Applies a change if its base is the revision in force.
 
         Returns:
-            What was held before, `None` if nothing was applied.
+            The page that was replaced; `None` if nothing was applied.
         """
         held = self._pages.get(change.key)
         if held is None or held.revision != change.base_revision:
             return None
         page = pages.apply(held.page, change)
-        # A change that was made wrongly would leave two VMs with the same
-        # revision and other rows, which no comparison would ever find.
+        # Without this check a wrong change would leave two VMs with different
+        # rows at the same revision, which comparisons could never detect.
         if pages.digest(pages.encode(page)) != change.digest:
             return None
         return self.offer(change.key, change.revision, page)
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Calls back at each `announce`."""
+        """Registers a callback that each `notify` runs."""
         self._callbacks.append(callback)
 
-    def announce(self) -> None:
-        """Tells that pages changed; on the thread that changed them."""
+    def notify(self) -> None:
+        """Runs the callbacks, on the calling thread, after pages changed."""
         for callback in self._callbacks:
             try:
                 callback()
-            except Exception:  # noqa: BLE001 - the others must hear of it.
+            except Exception:  # noqa: BLE001 - the other callbacks must run.
                 _log.exception("A callback failed.")
 
-    def become_ready(self, source: str) -> None:
-        """Tells that every page has come."""
+    def mark_ready(self, source: str) -> None:
+        """Marks this VM as ready: every page was received.
+
+        Args:
+            source: Where the pages came from, for the log.
+        """
         if self.is_ready:
             return
         self.is_ready = True
-        _log.info("Every page has come from %s.", source)
-        self.announce()
+        _log.info("Received every page from %s.", source)
+        self.notify()
 
     @property
     def confirmed_s(self) -> float:
-        """Until when every accepted change is surely in force here.
+        """The time up to which every accepted change is known to be in force.
 
-        On this VM's monotonic clock; minus infinity if never.
+        In seconds on this VM's monotonic clock; minus infinity if never.
         """
         return self._confirmed_s
 
     def confirm(self, at_s: float) -> None:
-        """Notes that all changes accepted before a moment are in force."""
+        """Records that all changes accepted before `at_s` are in force."""
         with self._lock:
             self._confirmed_s = max(self._confirmed_s, at_s)
 
-    def at(self, key: str) -> PageAt | None:
-        """Returns the page held under a key, `None` for no page's key."""
+    def versioned_page(self, key: str) -> VersionedPage | None:
+        """Returns the page in force, `None` if `key` is not a page's key."""
         return self._pages.get(key)
 
     def revisions(self) -> tuple[int, ...]:
-        """Returns each page's revision, in the order of `all_keys`."""
-        return tuple(self._pages[key].revision for key in self._order)
+        """Returns each page's revision, in the order of `pages.all_keys`."""
+        return tuple(self._pages[key].revision for key in self._page_keys)
 
     def digest(self) -> bytes:
-        """Returns a short name of all revisions held."""
+        """Returns a digest of the revisions of all pages."""
         return pages.digest(cbor2.dumps(list(self.revisions())))
 
-    def older_than(self, revisions: tuple[int, ...]) -> tuple[str, ...]:
-        """Returns the keys of pages that are older here than elsewhere."""
+    def keys_older_than(self, revisions: tuple[int, ...]) -> tuple[str, ...]:
+        """Returns the keys of pages whose revision here is lower.
+
+        Args:
+            revisions: The revisions to compare with, in the order of
+                `pages.all_keys`.
+        """
         own = self.revisions()
         return tuple(
             key
             for key, here, there in zip(
-                self._order, own, revisions, strict=False
+                self._page_keys, own, revisions, strict=False
             )
             if here < there
         )
--- a/packages/daemon/bulrushdeald/rewrites.py
+++ b/packages/daemon/bulrushdeald/rewrites.py
@@ -1,4 +1,4 @@
-"""What operators' edits make of a page, free of where it is stored."""
+"""Operators' edits as functions from a stored page to a new page."""
 
 import re
 
@@ -13,10 +13,11 @@
 _ADDRESS = re.compile(r"^[0-9a-zA-Z_.\-]+:[0-9]{1,5}$")
 _SEGMENT = re.compile(r"^[A-Za-z0-9][A-Za-z0-9_.\-]{0,99}$")
 
-# Long after every VM has a row; an owner that sees it later begins empty.
-_OPENING_KEPT_S = 600.0
+# Openings are dropped after this time, long after every VM has received the
+# new row. An owner that sees the row even later starts it without tokens.
+_OPENING_RETENTION_S = 600.0
 
-_Rewritten = result.Result[pages.Page, edits.EditError]
+_RewriteResult = result.Result[pages.Page, edits.EditError]
 
 
 def put_customer(
@@ -24,17 +25,17 @@
     expected_revision: int | None,
     opening: records.Opening | None = None,
 ) -> edits.Rewrite:
-    """Adds a row or replaces it whole.
+    """Returns an edit that adds or replaces a whole row.
 
     Args:
         row: The checked row.
-        expected_revision: The page's revision seen, 0 if the row is to be
-            new; `None` to replace whatever is stored.
-        opening: What the row begins with if it is new.
+        expected_revision: The page's revision that the operator saw, 0 if
+            the row must not exist yet; `None` to replace whatever is stored.
+        opening: The tokens that the customer starts with if it is new.
     """
     openings = () if opening is None else (opening,)
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
         held = rows.get(row.customer)
         is_expected = expected_revision in (None, stored.revision) or (
@@ -56,28 +57,28 @@
 
 
 def set_cell(change: edits.CellEdit) -> edits.Rewrite:
-    """Changes one cell if it still is as the operator saw it.
+    """Returns an edit of one cell that fails if the cell has changed.
 
-    A change to another cell of the page does not matter.
+    With an expected value, changes of other cells do not matter; with only
+    an expected revision, any change of the page is a conflict.
     """
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
         row = rows.get(change.customer)
         if row is None:
-            return result.Err(_missing(change.customer))
+            return result.Err(_missing_error(change.customer))
         current: float = getattr(row, change.column)
-        # Another operator may have changed the cell since this one saw it;
-        # without the comparison the later of the two would undo the first
-        # and neither would be told.
+        # Another operator may have changed the cell since this one read it.
+        # Without the comparison the second edit would silently undo the first.
         if change.expected_value is not None:
             is_expected = current == change.expected_value
             message = f"{change.customer!r} was changed by somebody else."
         else:
             is_expected = stored.revision == change.expected_revision
             message = (
-                f"{change.customer!r}, or a row beside it, was changed since"
-                f" revision {change.expected_revision}."
+                f"{change.customer!r}, or another row of its page, was changed"
+                f" since revision {change.expected_revision}."
             )
         if not is_expected:
             problem = edits.EditError(
@@ -98,12 +99,12 @@
 
 
 def delete_customer(customer: str) -> edits.Rewrite:
-    """Removes a row and withdraws its keys."""
+    """Returns an edit that removes a customer and withdraws its keys."""
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
         if rows.pop(customer, None) is None:
-            return result.Err(_missing(customer))
+            return result.Err(_missing_error(customer))
         keys = tuple(
             key._replace(withdrawn=True) if key.customer == customer else key
             for key in stored.page.keys
@@ -124,16 +125,17 @@
     expected_revision: int | None,
     openings: tuple[records.Opening, ...] = (),
 ) -> edits.Rewrite:
-    """Adds or replaces rows of one page, all or none.
+    """Returns an edit that adds or replaces rows of a page, all or none.
 
     Args:
         changed: The checked rows.
-        expected_revision: The revision that the operator's table stood at;
-            `None` to replace whatever is stored.
-        openings: What rows that are new begin with.
+        expected_revision: The revision of the table that the operator
+            exported; a page changed after it is a conflict. `None` to
+            replace whatever is stored.
+        openings: The tokens that new customers start with.
     """
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         held = _customers(stored.page)
         rows = {**held, **{row.customer: row for row in changed}}
         if rows == held:
@@ -143,7 +145,9 @@
             and stored.revision > expected_revision
         )
         if is_later:
-            message = f"It was changed since revision {expected_revision}."
+            message = (
+                f"The page was changed since revision {expected_revision}."
+            )
             return result.Err(
                 edits.EditError(
                     "conflict", message, "", expected_revision, stored.revision
@@ -156,11 +160,11 @@
 
 
 def add_key(row: records.Key) -> edits.Rewrite:
-    """Adds a key to its customer."""
+    """Returns an edit that adds a key to its customer."""
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         if row.customer not in _customers(stored.page):
-            return result.Err(_missing(row.customer))
+            return result.Err(_missing_error(row.customer))
         keys = {key.key_hash: key for key in stored.page.keys}
         keys.setdefault(row.key_hash, row)
         return result.Ok(_with_keys(stored.page, keys))
@@ -169,13 +173,16 @@
 
 
 def withdraw_key(key_hash: str) -> edits.Rewrite:
-    """Withdraws a key; its row stays, so that nothing revives it."""
+    """Returns an edit that withdraws a key.
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    The key's row stays, so that the key cannot become valid again.
+    """
+
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         keys = {key.key_hash: key for key in stored.page.keys}
         held = keys.get(key_hash)
         if held is None:
-            return result.Err(_missing(key_hash))
+            return result.Err(_missing_error(key_hash))
         keys[key_hash] = held._replace(withdrawn=True)
         return result.Ok(_with_keys(stored.page, keys))
 
@@ -183,9 +190,9 @@
 
 
 def put_upstream(row: records.Upstream) -> edits.Rewrite:
-    """Adds an upstream or replaces it whole."""
+    """Returns an edit that adds or replaces a whole upstream."""
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         problem = _check_upstream(row)
         if problem is not None:
             return result.Err(problem)
@@ -197,12 +204,12 @@
 
 
 def delete_upstream(upstream: str) -> edits.Rewrite:
-    """Removes an upstream."""
+    """Returns an edit that removes an upstream."""
 
-    def rewrite(stored: edits.Stored) -> _Rewritten:
+    def rewrite(stored: edits.Stored) -> _RewriteResult:
         rows = {held.upstream: held for held in stored.page.upstreams}
         if rows.pop(upstream, None) is None:
-            return result.Err(_missing(upstream))
+            return result.Err(_missing_error(upstream))
         return result.Ok(_with_upstreams(stored.page, rows))
 
     return rewrite
@@ -215,14 +222,16 @@
     if not _ADDRESS.match(row.address):
         return edits.EditError("invalid", "An address is HOST:PORT.", "address")
     if row.slots < 1:
-        return edits.EditError("invalid", "It has at least one slot.", "slots")
+        return edits.EditError(
+            "invalid", "An upstream has at least one slot.", "slots"
+        )
     if not row.failure_domain:
         message = "A failure domain is required."
         return edits.EditError("invalid", message, "failure_domain")
     if row.kind == "engine" and not row.models:
         return edits.EditError("invalid", "An engine serves a model.", "models")
     if row.kind == "plain" and not _SEGMENT.match(row.service):
-        message = "A plain service is called by a path segment."
+        message = "The name of a plain service is a URL path segment."
         return edits.EditError("invalid", message, "service")
     return None
 
@@ -238,25 +247,25 @@
 
 
 def _with_openings(
-    page: pages.Page, made: tuple[records.Opening, ...]
+    page: pages.Page, added: tuple[records.Opening, ...]
 ) -> pages.Page:
-    """Adds the openings of names that are new; drops those long known.
+    """Adds the openings of new customers and drops expired openings.
 
-    The failure: a customer is deleted and made again, and has its burst a
-    second time. A deleted customer's keys stay, so a name that ever had a
-    key is not new; one that had none has spent nothing.
+    A customer that is deleted and added again must not receive its burst a
+    second time. A deleted customer's keys stay in the page, so a name that
+    ever had a key is not new; one that never had a key has spent nothing.
     """
-    if not made:
+    if not added:
         return page
-    newest_s = max(opening.made_s for opening in made)
+    newest_made_s = max(opening.made_s for opening in added)
     known = {row.customer for row in page.customers}
     known |= {key.customer for key in page.keys}
     openings = {
         opening.customer: opening
         for opening in page.openings
-        if opening.made_s > newest_s - _OPENING_KEPT_S
+        if opening.made_s > newest_made_s - _OPENING_RETENTION_S
     }
-    for opening in made:
+    for opening in added:
         if opening.customer not in known:
             openings[opening.customer] = opening
     rows = tuple(openings[name] for name in sorted(openings))
@@ -273,5 +282,5 @@
     return page._replace(upstreams=tuple(rows[name] for name in sorted(rows)))
 
 
-def _missing(name: str) -> edits.EditError:
+def _missing_error(name: str) -> edits.EditError:
     return edits.EditError("missing", f"There is no {name!r}.")
--- a/packages/daemon/bulrushdeald/table.py
+++ b/packages/daemon/bulrushdeald/table.py
@@ -1,4 +1,4 @@
-"""The operators' table of weights and limits: its columns, checks and CSV."""
+"""The operators' table of weights and limits: columns, checks and CSV."""
 
 from collections.abc import Mapping
 import csv
@@ -15,12 +15,12 @@
 
 
 class TableError(NamedTuple):
-    """A cell or line that the table cannot hold.
+    """An invalid cell or line of the table.
 
     Attributes:
-        line: The line of the file, from 1 for the header; 0 for no file.
-        column: The column's name, empty if the whole line is meant.
-        message: What is wrong and what is allowed.
+        line: The line of the file, 1 for the header; 0 if there is no file.
+        column: The column's name, empty if the whole line is invalid.
+        message: The fault and the allowed values.
     """
 
     line: int
@@ -29,7 +29,7 @@
 
 
 class Column(NamedTuple):
-    """A column of numbers.
+    """A numeric column.
 
     Attributes:
         name: The field's name in `records.Customer`.
@@ -48,15 +48,16 @@
     Column("burst", 0.0, 1_000_000.0),
     Column("batch_weight", 0.001, 1_000_000.0),
 )
-_COLUMNS = {column.name: column for column in COLUMNS}
-HEADER = (NAME_COLUMN, *_COLUMNS)
+_COLUMNS_BY_NAME = {column.name: column for column in COLUMNS}
+HEADER = (NAME_COLUMN, *_COLUMNS_BY_NAME)
 
 
 def check_name(name: Any, line: int = 0) -> result.Result[str, TableError]:
     """Checks a customer's name.
 
-    A name begins with a letter or digit of any script, so no spreadsheet
-    takes it for a formula, and fits into a path.
+    A name begins with a letter or digit of any script, so that spreadsheets
+    do not take it for a formula, and has no slash, since it is part of a URL
+    path.
     """
     problem = TableError(
         line,
@@ -77,17 +78,17 @@
 def check_cell(
     column: str, value: Any, line: int = 0
 ) -> result.Result[float, TableError]:
-    """Checks the value of a cell, a number or its text."""
-    known = _COLUMNS.get(column)
-    if known is None:
-        names = ", ".join(_COLUMNS)
+    """Checks the value of a cell, given as a number or as text."""
+    bounds = _COLUMNS_BY_NAME.get(column)
+    if bounds is None:
+        names = ", ".join(_COLUMNS_BY_NAME)
         return result.Err(
             TableError(line, column, f"No such column; there are {names}.")
         )
     problem = TableError(
         line,
         column,
-        f"{value!r} is not a number from {known.low:g} to {known.high:g}.",
+        f"{value!r} is not a number from {bounds.low:g} to {bounds.high:g}.",
     )
     if isinstance(value, bool) or not isinstance(value, str | int | float):
         return result.Err(problem)
@@ -95,7 +96,7 @@
         number = float(value)
     except (ValueError, OverflowError):
         return result.Err(problem)
-    if not math.isfinite(number) or not known.low <= number <= known.high:
+    if not math.isfinite(number) or not bounds.low <= number <= bounds.high:
         return result.Err(problem)
     return result.Ok(number)
 
@@ -103,7 +104,7 @@
 def check_row(
     values: Mapping[str, Any], line: int = 0
 ) -> result.Result[records.Customer, TableError]:
-    """Checks a whole row; a column not given has its default."""
+    """Checks a whole row; a column that is not given has its default."""
     name = check_name(values.get(NAME_COLUMN), line)
     if name.is_err():
         return result.Err(name.unwrap_err())
@@ -132,21 +133,21 @@
     writer = csv.writer(text)
     writer.writerow(HEADER)
     for row in rows:
-        writer.writerow((row.customer, *map(_number, row[1:])))
+        writer.writerow((row.customer, *map(_format_number, row[1:])))
     return text.getvalue()
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return repr(int(value)) if value.is_integer() else repr(value)
 
 
 def read_csv(
     text: str,
 ) -> result.Result[tuple[records.Customer, ...], tuple[TableError, ...]]:
-    """Reads a table; the columns stand in any order but all of them do.
+    """Reads a table from CSV with all columns, in any order.
 
     Returns:
-        All rows, or all errors that were found.
+        All rows, or all errors found.
     """
     reader = csv.reader(io.StringIO(text.removeprefix("\ufeff")), strict=True)
     try:
--- a/tests/daemon/test_pageset.py
+++ b/tests/daemon/test_pageset.py
@@ -1,10 +1,9 @@
-"""Pages that come late, twice, out of order or from a stale peer.
+"""Tests of pages that arrive late, twice, out of order or from a stale peer.
 
-Story: an operator makes some edits of one page. A VM hears of them in any
-order, some twice and some never, some as whole pages from a peer that is
-behind. A user sees a withdrawn key work again, or rows that no operator
-ever stored together. Cause: a change was applied to a page that it was not
-made from, or over a later one.
+Guards against a change that is applied to a page other than its base, or an
+old page that replaces a newer one. Either would revive a withdrawn key or
+combine rows that were never stored together. A VM receives edits in any
+order, some twice and some never, as changes or as whole pages.
 """
 
 from hypothesis import given
@@ -17,7 +16,7 @@
 KEY = pages.all_keys()[0]
 
 
-def some_pages() -> st.SearchStrategy[list[pages.Page]]:
+def page_lists() -> st.SearchStrategy[list[pages.Page]]:
     customer = st.builds(
         lambda name, weight: records.Customer(name, weight=weight),
         st.sampled_from("ab"),
@@ -42,47 +41,53 @@
     return st.lists(one, min_size=1, max_size=4)
 
 
-@given(some_pages(), st.data())
-def test_only_stored_pages_are_held_and_none_twice(
+@given(page_lists(), st.data())
+def test_only_stored_pages_are_in_force_and_never_revert(
     stored: list[pages.Page], data: st.DataObject
 ) -> None:
     history = [pages.Page(), *stored]
-    held = pageset.PageSet()
+    page_set = pageset.PageSet()
     revisions = st.integers(1, len(stored))
     for revision, is_whole in data.draw(
         st.lists(st.tuples(revisions, st.booleans()), max_size=12)
     ):
-        before = held.revisions()[0]
+        before = page_set.revisions()[0]
         page = history[revision]
         if is_whole:
-            held.offer(KEY, revision, page)
+            page_set.offer(KEY, revision, page)
         else:
             base = data.draw(st.integers(0, revision - 1))
-            held.change(pages.diff(KEY, history[base], base, page, revision))
-        now = held.at(KEY)
-        assert now is not None
-        assert now.revision >= before
-        assert now.page == history[now.revision]
-        assert held.customers == {r.customer: r for r in now.page.customers}
-        assert held.keys == {row.key_hash: row for row in now.page.keys}
+            page_set.change(
+                pages.diff(KEY, history[base], base, page, revision)
+            )
+        current = page_set.versioned_page(KEY)
+        assert current is not None
+        assert current.revision >= before
+        assert current.page == history[current.revision]
+        assert page_set.customers == {
+            r.customer: r for r in current.page.customers
+        }
+        assert page_set.keys == {row.key_hash: row for row in current.page.keys}
 
 
-@given(some_pages())
-def test_pages_survive_their_encoding(stored: list[pages.Page]) -> None:
+@given(page_lists())
+def test_pages_are_decoded_as_encoded(stored: list[pages.Page]) -> None:
     for page in stored:
         assert pages.decode(pages.encode(page)) == page
 
 
-def test_a_change_that_was_made_wrongly_is_not_applied() -> None:
-    """Two programs make a change of the same page in different ways.
+def test_change_with_wrong_digest_is_not_applied() -> None:
+    """A change does not lead to the page that its digest names.
 
-    A VM would hold other rows than its peers under the same revision, and
-    no comparison would ever find it. It has to pull the whole page instead.
+    Two versions of the program may compute changes differently. Applied, the
+    change would leave a VM with other rows than its peers at the same
+    revision, which no comparison detects. Rejected, it makes the VM fetch the
+    whole page.
     """
     row = records.Customer("a")
     page = pages.make({"a": row}, {}, {})
     change = pages.diff(KEY, pages.Page(), 0, page, 1)
-    held = pageset.PageSet()
+    page_set = pageset.PageSet()
     wrong = change._replace(rows=pages.Page((row._replace(weight=9.0),)))
-    assert held.change(wrong) is None
-    assert held.change(change) is not None
+    assert page_set.change(wrong) is None
+    assert page_set.change(change) is not None
