--- a/tests/daemon/test_config.py
+++ b/tests/daemon/test_config.py
@@ -1,9 +1,9 @@
-"""A failure domain that is cut off, and what its age is worth.
+"""Tests of the configuration in a failure domain that is cut off.
 
-Story: a domain is cut off from the platform and from all others. An
-operator withdraws a key. Inside the cut the key goes on working; whether
-that is wanted is the operators' setting, and a VM must not believe that it
-is up to date only because it hears from a neighbour that is cut off too.
+In a domain cut off from the platform and from all other domains, a key that
+is withdrawn elsewhere continues to work. A setting limits for how long. A VM
+must not count as up to date because it compares with a peer that is cut off
+too.
 """
 
 import pytest
@@ -23,8 +23,8 @@
 MAX_AGE_S = 30.0
 
 
-class Domains:
-    """Three VMs; `b` and `c` can be cut off together."""
+class ConfigVms:
+    """Three VMs in their own domains; `b` and `c` can be cut off together."""
 
     def __init__(self, max_age_s: float) -> None:
         self.store = platformfakes.Store()
@@ -35,10 +35,10 @@
         self.configs = {}
         key = records.Key(config.hash_key("secret"), CUSTOMER, "")
         page = pages.Page((records.Customer(CUSTOMER),), (key,))
-        at = pages.customer_key(CUSTOMER)
-        self.clients["a"].put(at, pages.encode(page), 0).unwrap()
+        page_key = pages.customer_key(CUSTOMER)
+        self.clients["a"].put(page_key, pages.encode(page), 0).unwrap()
         for vm in VMS:
-            made = config.ConfigService(
+            service = config.ConfigService(
                 platformfakes.kernel(
                     keyvalue=self.clients[vm],
                     membership=platformfakes.FixedMembership(vm, rows),
@@ -48,9 +48,9 @@
                 self.clock,
                 pool=platformfakes.InlineExecutor(),
             )
-            made.attach()
-            assert made.feed.read_all()
-            self.configs[vm] = made
+            service.attach()
+            assert service.feed.read_all()
+            self.configs[vm] = service
 
     def cut(self) -> None:
         for vm in ("b", "c"):
@@ -58,12 +58,12 @@
             self.network.cuts.add(frozenset(("a", vm)))
 
     def withdraw(self) -> None:
-        at = pages.customer_key(CUSTOMER)
-        entry = self.clients["a"].get(at).unwrap()
+        page_key = pages.customer_key(CUSTOMER)
+        entry = self.clients["a"].get(page_key).unwrap()
         stored = pages.decode(entry.value)
         gone = tuple(key._replace(withdrawn=True) for key in stored.keys)
         value = pages.encode(stored._replace(keys=gone))
-        self.clients["a"].put(at, value, entry.revision).unwrap()
+        self.clients["a"].put(page_key, value, entry.revision).unwrap()
         assert self.configs["a"].watch(0.0)
 
     def serves(self, vm: str) -> bool:
@@ -71,68 +71,73 @@
 
 
 @pytest.mark.parametrize("max_age_s", [0.0, MAX_AGE_S])
-def test_a_cut_off_domain_serves_on_as_long_as_it_may(max_age_s: float) -> None:
-    domains = Domains(max_age_s)
-    domains.cut()
-    domains.withdraw()
-    assert not domains.serves("a")
+def test_cut_off_domain_serves_up_to_the_maximum_age(max_age_s: float) -> None:
+    vms = ConfigVms(max_age_s)
+    vms.cut()
+    vms.withdraw()
+    assert not vms.serves("a")
     for _ in range(int(MAX_AGE_S)):
-        domains.clock.now_s += 1.0
-        # The two hear from each other all the time, and it proves nothing.
-        domains.configs["b"].gossip.compare("c")
-        domains.configs["c"].gossip.compare("b")
-        assert domains.serves("b")
-    domains.clock.now_s += 1.0
-    assert domains.configs["b"].gossip.age_s() == MAX_AGE_S + 1
-    assert domains.serves("b") == (max_age_s == 0.0)
-    # The cut heals towards one neighbour that hears from the platform.
-    domains.network.cuts.clear()
-    assert domains.configs["a"].watch(0.0)
-    assert domains.configs["b"].gossip.compare("a")
-    assert domains.configs["b"].gossip.age_s() == 0.0
-    error = domains.configs["b"].authenticate("secret").unwrap_err()
+        vms.clock.now_s += 1.0
+        # Comparing with each other does not make them up to date.
+        vms.configs["b"].gossip.compare("c")
+        vms.configs["c"].gossip.compare("b")
+        assert vms.serves("b")
+    vms.clock.now_s += 1.0
+    assert vms.configs["b"].gossip.age_s() == MAX_AGE_S + 1
+    assert vms.serves("b") == (max_age_s == 0.0)
+    # They can reach a peer again that has read from the platform.
+    vms.network.cuts.clear()
+    assert vms.configs["a"].watch(0.0)
+    assert vms.configs["b"].gossip.compare("a")
+    assert vms.configs["b"].gossip.age_s() == 0.0
+    error = vms.configs["b"].authenticate("secret").unwrap_err()
     assert error.kind == "unknown_key"
 
 
-def test_an_edit_is_pushed_by_the_vm_that_made_it() -> None:
+def test_editing_vm_pushes_its_edit() -> None:
     """The editing VM is its domain's only watcher.
 
-    Its own watch told it nothing new, so nobody pushed the edit on, and the
-    others heard of it only by comparing.
+    Its watch returns nothing new after its own edit. If it did not push the
+    edit itself, its peers would receive it only by comparing.
     """
-    domains = Domains(0.0)
+    vms = ConfigVms(0.0)
     for vm in ("b", "c"):
-        domains.clients[vm].is_cut = True
-    editor = edits.Editor(domains.clients["a"], domains.configs["a"])
+        vms.clients[vm].is_cut = True
+    editor = edits.Editor(vms.clients["a"], vms.configs["a"])
     row = records.Customer(CUSTOMER, burst=3.0)
-    at = pages.customer_key(CUSTOMER)
-    editor.edit(at, rewrites.put_customer(row, None)).unwrap()
-    assert domains.configs["b"].customer(CUSTOMER) == row
-    assert domains.configs["c"].customer(CUSTOMER) == row
+    page_key = pages.customer_key(CUSTOMER)
+    editor.edit(page_key, rewrites.put_customer(row, None)).unwrap()
+    assert vms.configs["b"].customer(CUSTOMER) == row
+    assert vms.configs["c"].customer(CUSTOMER) == row
 
 
-def test_open_streams_hear_of_a_withdrawal() -> None:
-    """A caller is still connected when its key is withdrawn."""
-    domains = Domains(0.0)
-    heard: list[bool] = []
-    made = domains.configs["c"]
+def test_withdrawal_runs_all_callbacks() -> None:
+    """Callbacks run on a withdrawal, even if another callback fails.
+
+    The open streams of a withdrawn key are ended by such a callback.
+    """
+    vms = ConfigVms(0.0)
+    withdrawn_seen: list[bool] = []
+    service = vms.configs["c"]
     key_hash = config.hash_key("secret")
 
     def fail() -> None:
         raise ValueError("a callback that fails must not stop the others")
 
-    made.on_change(fail)
-    made.on_change(lambda: heard.append(made.is_withdrawn(key_hash)))
-    domains.withdraw()
-    assert heard[-1]
+    service.on_change(fail)
+    service.on_change(
+        lambda: withdrawn_seen.append(service.is_withdrawn(key_hash))
+    )
+    vms.withdraw()
+    assert withdrawn_seen[-1]
 
 
-def test_only_two_vms_of_a_domain_watch_unless_nobody_is_heard() -> None:
+def test_two_vms_of_a_domain_watch_unless_peers_are_silent() -> None:
     rows = [records.Vm(vm, "d", "entry", "x:1") for vm in "abcde"]
     network, clock = platformfakes.Network(), clock_lib.FakeClock()
-    found = {}
+    services = {}
     for row in rows:
-        made = config.ConfigService(
+        service = config.ConfigService(
             platformfakes.kernel(
                 keyvalue=platformfakes.StoreClient(platformfakes.Store()),
                 membership=platformfakes.FixedMembership(row.vm, rows),
@@ -141,12 +146,12 @@
             controlplane.settings("x:1"),
             clock,
         )
-        made.attach()
-        found[row.vm] = made
-    watching = [vm for vm, made in found.items() if made.is_watcher()]
+        service.attach()
+        services[row.vm] = service
+    watching = [vm for vm, service in services.items() if service.is_watcher()]
     assert len(watching) == 2
     clock.now_s += 10.0
-    assert all(made.is_watcher() for made in found.values())
-    other = next(vm for vm in found if vm not in watching)
-    found[other].gossip.compare(watching[0])
-    assert not found[other].is_watcher()
+    assert all(service.is_watcher() for service in services.values())
+    other = next(vm for vm in services if vm not in watching)
+    services[other].gossip.compare(watching[0])
+    assert not services[other].is_watcher()
--- a/tests/daemon/test_config_machine.py
+++ b/tests/daemon/test_config_machine.py
@@ -1,9 +1,9 @@
-"""The configuration against a simple oracle, under cuts and lost answers.
+"""Model test of the configuration under cuts, outages and lost answers.
 
-Story: an operator withdraws a key and changes a rate. A slow peer, a late
-or doubled message, a restart in an outage or a lost answer brings an older
-page to a VM. A user sees the key work again, or a rate jump back. Cause:
-an older page was put in force over a later one.
+Guards against an older page replacing a newer one, so that a withdrawn key
+works again or a rate changes back. A VM can receive an old page from a slow
+peer, in a late or duplicated message, on a restart during an outage or after
+a lost answer.
 """
 
 import random
@@ -25,7 +25,7 @@
 from support import platformfakes
 
 VMS = ("a1", "a2", "b1", "b2")
-# The first two share a page.
+# The first two customers are on the same page.
 CUSTOMERS = ("customer-15", "customer-20", "customer-0")
 PAGES = tuple(sorted({pages.customer_key(name) for name in CUSTOMERS}))
 vms = st.sampled_from(VMS)
@@ -41,8 +41,9 @@
         self.clock = clock_lib.FakeClock()
         self.rows = [records.Vm(vm, vm[0], "entry", "x:1") for vm in VMS]
         self.clients = {vm: platformfakes.StoreClient(self.store) for vm in VMS}
-        # The oracle: what the operators were told.
-        # A rate is None while there is no row; several if it is unknown.
+        # The model holds the results that operators received: the possible
+        # rates of each customer, `None` for no row. There are several after
+        # an edit whose outcome is unknown.
         self.rates: dict[str, set[float | None]] = {
             name: {None} for name in CUSTOMERS
         }
@@ -52,25 +53,25 @@
         self.seen: dict[tuple[str, str], int] = {}
         self.configs: dict[str, config.ConfigService] = {}
         for vm in VMS:
-            self.boot(vm)
+            self.start_vm(vm)
             self.configs[vm].feed.read_all()
 
-    def boot(self, vm: str) -> None:
+    def start_vm(self, vm: str) -> None:
         kernel = platformfakes.kernel(
             keyvalue=self.clients[vm],
             membership=platformfakes.FixedMembership(vm, self.rows),
             peers=fakes.Peers(self.network, vm),
         )
         settings = controlplane.settings("x:1", vm=vm, failure_domain=vm[0])
-        made = config.ConfigService(
+        service = config.ConfigService(
             kernel,
             settings,
             self.clock,
             random.Random(1),
             platformfakes.InlineExecutor(),
         )
-        made.attach()
-        self.configs[vm] = made
+        service.attach()
+        self.configs[vm] = service
         for key in PAGES:
             self.seen.pop((vm, key), None)
 
@@ -149,32 +150,35 @@
     @stateful.precondition(lambda self: self.store.history)
     @stateful.rule(vm=vms, data=st.data())
     def offer_an_old_page(self, vm: str, data: Any) -> None:
-        """A page that was fetched long ago arrives only now."""
+        """Offers a page that was stored some time ago."""
         key, revision = data.draw(st.sampled_from(sorted(self.store.history)))
         page = pages.decode(self.store.history[key, revision])
         self.configs[vm].adopt(key, revision, page)
 
     @stateful.rule(vm=vms)
     def restart(self, vm: str) -> None:
-        self.boot(vm)
-        made = self.configs[vm]
-        if made.feed.read_all() or not made.gossip.compare_with_many():
+        self.start_vm(vm)
+        service = self.configs[vm]
+        if service.feed.read_all() or not service.gossip.compare_with_many():
             return
-        # Without the platform it is as new as the newest peer it reaches.
+        # Without the platform each page is at least as new as at any peer that
+        # this VM can reach.
         for other in VMS:
             if self.network.is_cut(vm, other) or other == vm:
                 continue
-            there = self.configs[other].revisions()
+            peer_revisions = self.configs[other].revisions()
             assert all(
                 here >= held
-                for here, held in zip(made.revisions(), there, strict=True)
+                for here, held in zip(
+                    service.revisions(), peer_revisions, strict=True
+                )
             )
 
     @stateful.invariant()
-    def pages_are_real_and_never_revert(self) -> None:
-        for vm, made in self.configs.items():
+    def pages_were_stored_and_never_revert(self) -> None:
+        for vm, service in self.configs.items():
             for key in PAGES:
-                held = made.page(key)
+                held = service.page(key)
                 assert held is not None
                 assert held.revision >= self.seen.get((vm, key), 0)
                 self.seen[vm, key] = held.revision
@@ -183,27 +187,27 @@
                     assert held.page == pages.decode(stored)
 
     @stateful.invariant()
-    def what_a_vm_calls_confirmed_is_in_force(self) -> None:
+    def confirmed_changes_are_in_force(self) -> None:
         self.clock.now_s += 1.0
         for key, revision in self.store.history:
             at_s = self.accepted_s.setdefault((key, revision), self.clock.now_s)
-            for made in self.configs.values():
-                held = made.page(key)
+            for service in self.configs.values():
+                held = service.page(key)
                 assert held is not None
-                age_s = made.gossip.age_s()
+                age_s = service.gossip.age_s()
                 if age_s >= 0 and at_s <= self.clock.now_s - age_s:
                     assert held.revision >= revision
 
     @stateful.invariant()
     def lookups_follow_the_pages(self) -> None:
-        for made in self.configs.values():
+        for service in self.configs.values():
             for secret, customer in self.secrets:
-                held = made.page(pages.customer_key(customer))
+                held = service.page(pages.customer_key(customer))
                 assert held is not None
                 live = {k.key_hash for k in held.page.keys if not k.withdrawn}
-                is_ok = made.authenticate(secret).is_ok()
+                is_ok = service.authenticate(secret).is_ok()
                 is_live = config.hash_key(secret) in live
-                assert is_ok == (is_live and made.is_ready())
+                assert is_ok == (is_live and service.is_ready())
 
     def teardown(self) -> None:
         self.store.is_down = False
@@ -211,7 +215,7 @@
         self.network.holds = ()
         for vm in VMS:
             self.clients[vm].is_cut = False
-        # One watcher hears of everything; the others only ask peers.
+        # One VM reads from the platform; the others compare with it only.
         first = self.configs["a1"]
         if first.feed.has_read_all:
             assert first.watch(0.0)
@@ -220,19 +224,19 @@
         for vm in ("a2", "b1", "b2"):
             assert self.configs[vm].gossip.compare("a1")
         stored = self.store.revisions()
-        for vm, made in self.configs.items():
+        for vm, service in self.configs.items():
             for key in PAGES:
-                held = made.page(key)
+                held = service.page(key)
                 assert held is not None
                 assert held.revision == stored.get(key, 0), (vm, key)
             for name, rates in self.rates.items():
-                row = made.customer(name)
+                row = service.customer(name)
                 assert (row.rate_per_s if row else None) in rates
             for secret, _ in self.secrets:
-                is_ok = made.authenticate(secret).is_ok()
+                is_ok = service.authenticate(secret).is_ok()
                 if secret in self.withdrawn:
                     assert not is_ok
-                elif secret not in self.maybe_withdrawn and made.is_ready():
+                elif secret not in self.maybe_withdrawn and service.is_ready():
                     assert is_ok
 
 
--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -1,4 +1,4 @@
-"""Whole control services over HTTP and websockets, through outages."""
+"""Tests of whole control services over HTTP and websockets, with outages."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -31,23 +31,22 @@
     return found
 
 
-def knows(vm: controlplane.ControlVm, key: str) -> bool:
+def accepts(vm: controlplane.ControlVm, key: str) -> bool:
     return vm.config.authenticate(key).is_ok()
 
 
-def refuses(vm: controlplane.ControlVm, key: str) -> bool:
+def rejects(vm: controlplane.ControlVm, key: str) -> bool:
     answer = vm.config.authenticate(key)
     return answer.is_err() and answer.unwrap_err().kind == "unknown_key"
 
 
-def test_a_vm_that_starts_in_an_outage_serves_what_its_peers_have(
+def test_vm_starting_in_an_outage_gets_configuration_from_peers(
     fleet: controlplane.Fleet,
 ) -> None:
-    """The platform is down for long and a VM is replaced meanwhile.
+    """A VM is replaced during a long outage of the platform.
 
-    Callers behind the balancer would get no answer from the new VM though
-    its neighbours know every key. It knows no list of VMs either, so it
-    asks the seeds from its settings.
+    The new VM must not refuse callers while its peers have every key. It has
+    no list of VMs either, so it asks the peer seeds from its settings.
     """
     first = fleet.add("a", "d1")
     other = fleet.add("b", "d2")
@@ -56,14 +55,14 @@
     path = "/v1/keys/" + gone["key_hash"][:12]
     assert first.operate("DELETE", path).status == 200
     wait_until(
-        lambda: knows(other, live["key"]) and refuses(other, gone["key"])
+        lambda: accepts(other, live["key"]) and rejects(other, gone["key"])
     )
     fleet.platform.fault(outage=True)
     seeds = first.settings.peers_address
     new = fleet.add("c", "d1", peer_seeds=seeds)
-    assert not knows(new, live["key"])
-    wait_until(lambda: knows(new, live["key"]))
-    assert refuses(new, gone["key"])
+    assert not accepts(new, live["key"])
+    wait_until(lambda: accepts(new, live["key"]))
+    assert rejects(new, gone["key"])
     refused = new.operate("PUT", CUSTOMER, {"rate_per_s": 6})
     assert refused.status == 503
     fleet.platform.fault(outage=False)
@@ -73,34 +72,34 @@
     wait_until(lambda: row(other).rate_per_s == 6.0)
 
 
-def test_a_domain_cut_from_the_platform_still_hears_of_a_withdrawal(
+def test_domain_cut_from_the_platform_gets_withdrawals_from_peers(
     fleet: controlplane.Fleet,
 ) -> None:
-    """A failure domain cannot reach the platform, but other domains can.
+    """A failure domain can reach other domains but not the platform.
 
-    A withdrawn key would go on working there for as long as the cut lasts.
+    A withdrawn key must not continue to work there while the cut lasts.
     """
-    reaching = fleet.add("a", "d1")
-    nowhere = controlplane.free_address()
-    cut = [
+    connected_vm = fleet.add("a", "d1")
+    unused_address = controlplane.free_address()
+    cut_vms = [
         fleet.add(
             vm,
             "d2",
-            platform_address=nowhere,
-            peer_seeds=reaching.settings.peers_address,
+            platform_address=unused_address,
+            peer_seeds=connected_vm.settings.peers_address,
         )
         for vm in ("b", "c")
     ]
     wait_until(lambda: all(vm.config.is_ready() for vm in fleet.vms))
-    key = add_key(reaching)
-    wait_until(lambda: all(knows(vm, key["key"]) for vm in cut))
-    withdrawn = reaching.operate("DELETE", "/v1/keys/" + key["key_hash"])
+    key = add_key(connected_vm)
+    wait_until(lambda: all(accepts(vm, key["key"]) for vm in cut_vms))
+    withdrawn = connected_vm.operate("DELETE", "/v1/keys/" + key["key_hash"])
     assert withdrawn.body["withdrawn"] is True
-    wait_until(lambda: all(refuses(vm, key["key"]) for vm in cut))
+    wait_until(lambda: all(rejects(vm, key["key"]) for vm in cut_vms))
 
 
-def test_status_shows_who_is_cut_off(fleet: controlplane.Fleet) -> None:
-    """An operator withdraws a key and asks where it still works."""
+def test_status_shows_vms_that_are_cut_off(fleet: controlplane.Fleet) -> None:
+    """The status shows where a withdrawn key may still work."""
     first, other = fleet.add("a", "d1"), fleet.add("b", "d2")
     wait_until(lambda: all(vm.config.is_ready() for vm in fleet.vms))
     add_key(first)
@@ -118,10 +117,10 @@
     assert status()["platform"] == "cut_off"
 
 
-def test_an_accepted_edit_whose_answer_is_lost_is_accepted(
+def test_edit_with_lost_answer_is_reported_as_accepted(
     fleet: controlplane.Fleet,
 ) -> None:
-    """The operator would be told that it failed, and do it again."""
+    """Reported as failed, the edit would be repeated by the operator."""
     vm = fleet.add("a", "d1")
     wait_until(vm.config.is_ready)
     fleet.platform.fault(lose_next_answers=1)
@@ -135,7 +134,7 @@
     assert (error["expected"], error["current"]) == (3.0, 4.0)
 
 
-def test_operators_calls(fleet: controlplane.Fleet) -> None:
+def test_operator_routes(fleet: controlplane.Fleet) -> None:
     vm = fleet.add("a", "d1")
     wait_until(vm.config.is_ready)
     assert vm.operate("GET", "/v1/customers", token="other").status == 401
@@ -145,14 +144,15 @@
     assert wrong.body["error"]["column"] == "rate_per_s"
     assert vm.operate("PATCH", CUSTOMER, {"column": "x"}).status == 400
     key = add_key(vm)
-    # The secret is shown once: neither lists nor the dump have it.
+    # The secret is only in the response that created the key, not in lists
+    # or the state dump.
     for path in ("/v1/keys", "/v1/dump", "/v1/customers"):
         assert key["key"] not in vm.operate("GET", path).text
     assert vm.operate("DELETE", "/v1/keys/0123").status == 400
     assert vm.operate("DELETE", "/v1/keys/" + "0" * 64).status == 404
     assert vm.operate("DELETE", CUSTOMER).status == 200
     assert vm.operate("DELETE", CUSTOMER).status == 404
-    assert refuses(vm, key["key"])
+    assert rejects(vm, key["key"])
     upstream: dict[str, Any] = {
         "kind": "engine",
         "address": "127.0.0.1:9",
@@ -167,7 +167,7 @@
     assert vm.config.upstreams() == ()
 
 
-def test_the_table_is_imported_as_a_whole_page_or_not(
+def test_table_import_changes_each_page_whole_or_not_at_all(
     fleet: controlplane.Fleet,
 ) -> None:
     vm = fleet.add("a", "d1")
@@ -185,7 +185,7 @@
     assert vm.operate("POST", path, good).status == 200
     exported = vm.operate("GET", path)
     assert exported.text.splitlines() == good.splitlines()
-    # Somebody edits a row after the export; the file must not undo it.
+    # A row is edited after the export; importing the file must not undo it.
     change = {"column": "burst", "value": 9, "expected_value": 3}
     assert vm.operate("PATCH", CUSTOMER, change).status == 200
     since = exported.headers["X-Revision"]
--- a/tests/daemon/test_edits.py
+++ b/tests/daemon/test_edits.py
@@ -1,10 +1,9 @@
-"""Operators who edit the table at the same moment.
+"""Tests of concurrent edits of the table.
 
-Story: two operators see a rate of 10. One sets it to 20; the other, who has
-not seen that, sets it to 5. Either would find the other's number later and
-believe that the table lost an edit. Cause: the second write went over the
-first unseen. One of them must be told, with both numbers; but operators
-who edit different cells must not get in each other's way.
+Guards against lost updates: two operators see a rate of 10, one sets it to
+20 and the other, who has not seen that, sets it to 5. The second edit must
+fail with a conflict that shows both values, while edits of different cells
+must not conflict.
 """
 
 from typing import Any
@@ -26,8 +25,8 @@
 values = st.integers(1, 3).map(float)
 
 
-class Desk:
-    """An operator at a VM of its own."""
+class OperatorVm:
+    """A VM through which one operator edits."""
 
     def __init__(self, store: platformfakes.Store, vm: str) -> None:
         self.client = platformfakes.StoreClient(store)
@@ -63,45 +62,45 @@
 
 
 @given(changes, changes)
-def test_each_accepted_edit_saw_what_it_replaced(
+def test_accepted_edits_expected_the_replaced_value(
     first: list[Any], second: list[Any]
 ) -> None:
     store = platformfakes.Store()
-    one, other = Desk(store, "vm-1"), Desk(store, "vm-2")
+    one, other = OperatorVm(store, "vm-1"), OperatorVm(store, "vm-2")
     for name in NAMES:
         row = records.Customer(name, weight=1.0, burst=1.0)
         one.editor.edit(KEY, rewrites.put_customer(row, 0)).unwrap()
-    oracle = {(n, c): 1.0 for n in NAMES for c in ("weight", "burst")}
+    expected_cells = {(n, c): 1.0 for n in NAMES for c in ("weight", "burst")}
 
-    def submit(desk: Desk, cell: Any, value: float, seen: float) -> None:
+    def submit(vm: OperatorVm, cell: Any, value: float, seen: float) -> None:
         name, column = cell
-        edited = desk.set_cell(name, column, value, seen)
-        if seen == oracle[cell]:
+        edited = vm.set_cell(name, column, value, seen)
+        if seen == expected_cells[cell]:
             edited.unwrap()
-            oracle[cell] = value
+            expected_cells[cell] = value
             return
         error = edited.unwrap_err()
         assert error.kind == "conflict"
-        assert (error.expected, error.current) == (seen, oracle[cell])
+        assert (error.expected, error.current) == (seen, expected_cells[cell])
         assert error.yours == value
 
     for (cell, value, seen), race in zip(
         first, [*second, None, None, None, None], strict=False
     ):
         if race is not None:
-            # The other operator's write lands between read and write.
+            # The other operator writes between this one's read and write.
             one.client.before_put = lambda race=race: submit(other, *race)
         submit(one, cell, value, seen)
         one.client.before_put = None
         rows = stored(store)
-        for (name, column), expected in oracle.items():
+        for (name, column), expected in expected_cells.items():
             assert getattr(rows[name], column) == expected
 
 
-def test_a_new_customer_does_not_replace_one_made_meanwhile() -> None:
-    """Two operators add a customer of the same name, each as new."""
+def test_new_customer_does_not_replace_one_added_meanwhile() -> None:
+    """Two operators add a customer of the same name at the same time."""
     store = platformfakes.Store()
-    one, other = Desk(store, "vm-1"), Desk(store, "vm-2")
+    one, other = OperatorVm(store, "vm-1"), OperatorVm(store, "vm-2")
     fast = records.Customer(NAMES[0], rate_per_s=7.0)
     slow = records.Customer(NAMES[0], rate_per_s=8.0)
     one.client.before_put = lambda: other.editor.edit(
@@ -112,59 +111,58 @@
     assert stored(store)[NAMES[0]] == fast
 
 
-def test_a_revision_alone_is_enough_to_notice_a_change() -> None:
+def test_expected_revision_alone_detects_a_change() -> None:
     store = platformfakes.Store()
-    desk = Desk(store, "vm-1")
+    vm = OperatorVm(store, "vm-1")
     row = records.Customer(NAMES[0], burst=1.0)
-    at = desk.editor.edit(KEY, rewrites.put_customer(row, 0)).unwrap().revision
+    at = vm.editor.edit(KEY, rewrites.put_customer(row, 0)).unwrap().revision
     for value, kind in ((2.0, "accepted"), (3.0, "conflict")):
         change = edits.CellEdit(NAMES[0], "burst", value, None, at)
-        edited = desk.editor.edit(KEY, rewrites.set_cell(change))
+        edited = vm.editor.edit(KEY, rewrites.set_cell(change))
         if kind == "conflict":
             assert edited.unwrap_err().current == 2.0
         assert stored(store)[NAMES[0]].burst == 2.0
 
 
-def test_a_deleted_customers_keys_stay_withdrawn() -> None:
-    """A customer is deleted and one of the same name is made later.
+def test_keys_of_a_deleted_customer_stay_withdrawn() -> None:
+    """A customer is deleted, and one of the same name is added later.
 
     The old keys must not work for the new customer.
     """
-    desk = Desk(platformfakes.Store(), "vm-1")
-    desk.config.feed.read_all()
+    vm = OperatorVm(platformfakes.Store(), "vm-1")
+    vm.config.feed.read_all()
     row = records.Customer(NAMES[0])
     key = records.Key(config.hash_key("secret"), NAMES[0], "")
     for rewrite in (rewrites.put_customer(row, 0), rewrites.add_key(key)):
-        desk.editor.edit(KEY, rewrite).unwrap()
-    assert desk.config.authenticate("secret").is_ok()
+        vm.editor.edit(KEY, rewrite).unwrap()
+    assert vm.config.authenticate("secret").is_ok()
     for rewrite in (
         rewrites.delete_customer(NAMES[0]),
         rewrites.put_customer(row, 0),
         rewrites.add_key(key),
     ):
-        desk.editor.edit(KEY, rewrite).unwrap()
-    assert desk.config.authenticate("secret").is_err()
+        vm.editor.edit(KEY, rewrite).unwrap()
+    assert vm.config.authenticate("secret").is_err()
 
 
-def test_a_page_that_cannot_be_read_is_not_written_over() -> None:
-    """A newer program stored a page that this one cannot read."""
+def test_unreadable_page_is_not_overwritten() -> None:
+    """A newer version stored a page that this version cannot decode."""
     store = platformfakes.Store()
-    desk = Desk(store, "vm-1")
-    desk.client.put(KEY, b"from the future", 0).unwrap()
+    vm = OperatorVm(store, "vm-1")
+    vm.client.put(KEY, b"from the future", 0).unwrap()
     row = records.Customer(NAMES[0])
-    error = desk.editor.edit(KEY, rewrites.put_customer(row, None)).unwrap_err()
+    error = vm.editor.edit(KEY, rewrites.put_customer(row, None)).unwrap_err()
     assert error.kind == "unavailable"
     held = store.keyspace.get(KEY)
     assert held is not None
     assert held.value == b"from the future"
 
 
-def test_a_customer_made_again_does_not_begin_with_its_burst_again() -> None:
-    # A customer has spent its burst; its row is deleted, made again in the
-    # same minute, and it has the whole burst once more. Cause: the second
-    # row is as new as the first.
+def test_customer_added_again_gets_no_second_burst() -> None:
+    # A customer that has spent its burst is deleted and added again within a
+    # minute. Treated as new, it would receive its burst a second time.
     store = platformfakes.Store()
-    desk = Desk(store, "v1")
+    vm = OperatorVm(store, "v1")
     row = records.Customer(NAMES[0])
     opening = records.Opening(NAMES[0], 20.0, 0.0, ())
     later = opening._replace(made_s=1.0)
@@ -175,14 +173,14 @@
         return pages.decode(held.value).openings
 
     make = rewrites.put_customer(row, 0, opening)
-    assert desk.editor.edit(KEY, make).is_ok()
+    assert vm.editor.edit(KEY, make).is_ok()
     assert openings() == (opening,)
     key = rewrites.add_key(records.Key("hash", NAMES[0], ""))
-    assert desk.editor.edit(KEY, key).is_ok()
-    assert desk.config.opening(NAMES[0]) == opening
+    assert vm.editor.edit(KEY, key).is_ok()
+    assert vm.config.opening(NAMES[0]) == opening
     gone = rewrites.delete_customer(NAMES[0])
-    assert desk.editor.edit(KEY, gone).is_ok()
+    assert vm.editor.edit(KEY, gone).is_ok()
     again = rewrites.put_rows((row,), None, (later,))
-    assert desk.editor.edit(KEY, again).is_ok()
+    assert vm.editor.edit(KEY, again).is_ok()
     assert openings() == ()
-    assert desk.config.opening(NAMES[0]) is None
+    assert vm.config.opening(NAMES[0]) is None
--- a/tests/daemon/test_table.py
+++ b/tests/daemon/test_table.py
@@ -15,7 +15,7 @@
 
 
 @given(st.lists(rows, unique_by=lambda row: row.customer))
-def test_what_is_exported_is_imported_the_same(
+def test_exported_table_is_imported_unchanged(
     given_rows: list[records.Customer],
 ) -> None:
     text = table.write_csv(tuple(given_rows))
@@ -23,7 +23,7 @@
 
 
 @given(st.text())
-def test_any_text_is_read_or_refused_with_a_line(text: str) -> None:
+def test_any_text_is_read_or_rejected_with_a_line(text: str) -> None:
     read = table.read_csv(text)
     if read.is_err():
         assert all(error.line >= 0 for error in read.unwrap_err())
@@ -54,7 +54,7 @@
     assert (first.line, first.column) == (line, column)
 
 
-def test_all_errors_are_shown_and_blank_lines_do_not_matter() -> None:
+def test_all_errors_are_reported_and_blank_lines_ignored() -> None:
     text = "\ufeff" + HEADER + "\nkamau,1,a,b,4\n\nwanjiru,c,2,3,4\n"
     found = table.read_csv(text).unwrap_err()
     assert [(e.line, e.column) for e in found] == [
@@ -63,7 +63,7 @@
     ]
 
 
-def test_columns_may_stand_in_any_order() -> None:
+def test_columns_may_be_in_any_order() -> None:
     text = "burst,customer,weight,batch_weight,rate_per_s\n5,台灣,1,2,3\n"
     row = records.Customer("台灣", 1.0, 3.0, 5.0, 2.0)
     assert table.read_csv(text).unwrap() == (row,)
--- a/tests/support/controlplane.py
+++ b/tests/support/controlplane.py
@@ -1,4 +1,4 @@
-"""Real control services of a VM, in this process, on free ports."""
+"""The control services of VMs, run in the test process on free ports."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -23,7 +23,7 @@
 from support import fakes
 
 TOKEN = "operator-token"
-_WAIT_S = 30.0
+_WAIT_TIMEOUT_S = 30.0
 
 
 def free_address() -> str:
@@ -31,7 +31,7 @@
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def settings(platform_address: str, **given: Any) -> defaults.Settings:
+def settings(platform_address: str, **overrides: Any) -> defaults.Settings:
     flags = {
         "vm": "vm-1",
         "failure_domain": "domain-1",
@@ -41,15 +41,15 @@
         "platform_timeout_s": "0.5",
         "vm_list_poll_s": "0.1",
     }
-    flags.update({name: str(value) for name, value in given.items()})
+    flags.update({name: str(value) for name, value in overrides.items()})
     return fakes.settings(**flags)
 
 
 def wait_until(condition: Callable[[], object]) -> None:
-    """Waits for what has to come; a test fails only if it never does."""
-    end_s = time.monotonic() + _WAIT_S
+    """Waits until a condition is true; fails the test on a timeout."""
+    end_s = time.monotonic() + _WAIT_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < end_s, "it never came"
+        assert time.monotonic() < end_s, "the condition did not become true"
         time.sleep(0.01)
 
 
@@ -64,17 +64,19 @@
 
 
 class ControlVm:
-    """One VM's key-value client, membership, peers, config, operators."""
+    """The key-value, membership, peer, config and operator services of a VM."""
 
-    def __init__(self, given: defaults.Settings) -> None:
-        self.settings = given
+    def __init__(self, vm_settings: defaults.Settings) -> None:
+        self.settings = vm_settings
         self.kernel = kernel_lib.Kernel()
-        self.keyvalue = keyvalue.HttpKeyValue(self.kernel, given)
-        self.membership = membership.PlatformMembership(self.kernel, given)
-        self.peers = peers.WebsocketPeers(self.kernel, given)
-        self.vmlist = vmlist.VmListFeed(self.kernel, given)
-        self.config = config.ConfigService(self.kernel, given)
-        self.operators = operators.OperatorsServer(self.kernel, given)
+        self.keyvalue = keyvalue.HttpKeyValue(self.kernel, vm_settings)
+        self.membership = membership.PlatformMembership(
+            self.kernel, vm_settings
+        )
+        self.peers = peers.WebsocketPeers(self.kernel, vm_settings)
+        self.vmlist = vmlist.VmListFeed(self.kernel, vm_settings)
+        self.config = config.ConfigService(self.kernel, vm_settings)
+        self.operators = operators.OperatorsServer(self.kernel, vm_settings)
         self.kernel.register(services.KEYVALUE, self.keyvalue)
         self.kernel.register(services.MEMBERSHIP, self.membership)
         self.kernel.register(services.PEERS, self.peers)
@@ -105,7 +107,7 @@
 
 
 class Fleet:
-    """The stand-in platform and some VMs, listed there."""
+    """The stand-in platform and the VMs that it lists."""
 
     def __init__(self) -> None:
         self.platform = platform.Platform()
@@ -121,17 +123,19 @@
                 pool.submit(vm.stop)
         self.platform.stop(0.2)
 
-    def add(self, vm: str, failure_domain: str, **given: Any) -> ControlVm:
-        made = ControlVm(
+    def add(self, vm: str, failure_domain: str, **overrides: Any) -> ControlVm:
+        control_vm = ControlVm(
             settings(
-                given.pop("platform_address", self.platform.address),
+                overrides.pop("platform_address", self.platform.address),
                 vm=vm,
                 failure_domain=failure_domain,
-                **given,
+                **overrides,
             )
         )
         self.platform.set_vm(
-            records.Vm(vm, failure_domain, "entry", made.settings.peers_address)
+            records.Vm(
+                vm, failure_domain, "entry", control_vm.settings.peers_address
+            )
         )
-        self.vms.append(made)
-        return made.start()
+        self.vms.append(control_vm)
+        return control_vm.start()
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the services that others depend on, for tests of one service."""
+"""Fakes of services, for tests of another service that depends on them."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -22,12 +22,14 @@
 
 
 def settings(**flags: str) -> defaults.Settings:
-    named = {name.replace("_", "-"): text for name, text in flags.items()}
-    return defaults.read({**FLAGS, **named}, {})
+    flags_by_name = {
+        name.replace("_", "-"): text for name, text in flags.items()
+    }
+    return defaults.read({**FLAGS, **flags_by_name}, {})
 
 
 class Inert:
-    """A service without a life of its own."""
+    """A service with nothing to start, stop or dump."""
 
     def start(self) -> None:
         pass
@@ -40,7 +42,7 @@
 
 
 class Membership(Inert):
-    """A fixed list of VMs."""
+    """A fake `services.Membership` with a list set by the test."""
 
     def __init__(
         self, own: records.Vm, vms: Sequence[records.Vm], run: str = "1"
@@ -67,7 +69,7 @@
 
 
 class Network:
-    """Delivers calls between `Peers` in one process; links can be cut."""
+    """Delivers calls between the `Peers` of a test; links can be cut."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict[type, Callable[[str, Any], Any]]] = {}
@@ -93,7 +95,7 @@
 
 
 class Peers(Inert):
-    """One VM's end of a `Network`."""
+    """A fake `services.Peers` of one VM, connected to a `Network`."""
 
     def __init__(self, network: Network, vm: str) -> None:
         self._network = network
@@ -115,7 +117,7 @@
 
 
 class Config(Inert):
-    """A configuration that tests set by hand."""
+    """A fake `services.Config` with upstreams set by the test."""
 
     def __init__(self, upstreams: tuple[records.Upstream, ...] = ()) -> None:
         self.all_upstreams = upstreams
@@ -139,8 +141,8 @@
 def kernel(
     membership: Membership, peers: Peers, config: Config
 ) -> kernel_lib.Kernel:
-    made = kernel_lib.Kernel()
-    made.register(services.MEMBERSHIP, membership)
-    made.register(services.PEERS, peers)
-    made.register(services.CONFIG, config)
-    return made
+    new_kernel = kernel_lib.Kernel()
+    new_kernel.register(services.MEMBERSHIP, membership)
+    new_kernel.register(services.PEERS, peers)
+    new_kernel.register(services.CONFIG, config)
+    return new_kernel
--- a/tests/support/platformfakes.py
+++ b/tests/support/platformfakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the platform's store and of peers, moved by hand."""
+"""Fakes of the platform's store and of peers, controlled by tests."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -14,7 +14,7 @@
 
 
 class InlineExecutor(futures.Executor):
-    """Runs what is submitted at once."""
+    """Runs each submitted call at once, in the calling thread."""
 
     def submit(self, fn: Any, /, *args: Any, **kwargs: Any) -> Any:
         fn(*args, **kwargs)
@@ -24,7 +24,7 @@
 
 
 class Store:
-    """One store for all VMs, which remembers each page ever held."""
+    """The store of all VMs; keeps every value ever written."""
 
     def __init__(self) -> None:
         self.keyspace = keyspace.Keyspace()
@@ -40,15 +40,15 @@
 
 
 class StoreClient:
-    """One VM's `services.KeyValue` on the store."""
+    """A fake `services.KeyValue` through which one VM uses the store."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
         self.is_cut = False
-        # What the next write does: its answer is lost, with or without
-        # effect, and reading back does not settle it.
+        # If set, the next write's answer is lost and reading back does not
+        # settle it: `True` if the write takes effect, `False` if not.
         self.next_is_lost: bool | None = None
-        # Runs once between the next read and the write that follows.
+        # Called once, just before the next write.
         self.before_put: Callable[[], object] | None = None
 
     def _down(self) -> services.KeyValueError | None:
@@ -72,8 +72,8 @@
         if error := self._down():
             return result.Err(error)
         if self.before_put is not None:
-            before, self.before_put = self.before_put, None
-            before()
+            callback, self.before_put = self.before_put, None
+            callback()
         is_lost, self.next_is_lost = self.next_is_lost, None
         unknown = services.KeyValueError("unknown", "lost")
         if is_lost is False:
@@ -97,8 +97,8 @@
         return result.Ok(tuple(map(self._store.entry, held)))
 
 
-class Held(NamedTuple):
-    """A message on its way."""
+class HeldMessage(NamedTuple):
+    """A message that was not delivered yet."""
 
     source: str
     target: str
@@ -106,18 +106,23 @@
 
 
 class Network(fakes.Network):
-    """Calls between VMs; some cut, some pushes held back for later."""
+    """Calls between VMs that can also be held back for late delivery.
+
+    Attributes:
+        holds: The types of messages to hold back; their callers time out.
+        held: The messages held back so far.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.holds: tuple[type, ...] = ()
-        self.held: list[Held] = []
+        self.held: list[HeldMessage] = []
 
     def call(self, source: str, target: str, message: Any) -> Any:
         is_held = isinstance(message, self.holds)
         if not is_held or self.is_cut(source, target):
             return super().call(source, target, message)
-        self.held.append(Held(source, target, message))
+        self.held.append(HeldMessage(source, target, message))
         return result.Err(services.PeerError("timeout", "held"))
 
 
@@ -129,9 +134,9 @@
         super().__init__(own, rows, f"run of {vm}")
 
 
-def kernel(**found: Any) -> kernel_lib.Kernel:
-    """Returns a kernel with fakes under the services' names."""
-    made = kernel_lib.Kernel()
-    for name, service in found.items():
-        made.register(name, service)
-    return made
+def kernel(**services_by_name: Any) -> kernel_lib.Kernel:
+    """Returns a kernel with the given services registered by name."""
+    new_kernel = kernel_lib.Kernel()
+    for name, service in services_by_name.items():
+        new_kernel.register(name, service)
+    return new_kernel
