--- a/packages/daemon/bulrushdeald/config.py
+++ b/packages/daemon/bulrushdeald/config.py
@@ -205,8 +205,8 @@
     def adopt(self, key: str, revision: int, page: pages.Page) -> None:
         """Puts a page in force that this VM has written to the platform.
 
-        The change is also pushed to peers: this VM's own watch does not
-        return it as new.
+        Also pushes the change to peers: when this VM's own watch returns the
+        page, it is in force already and is not pushed.
         """
         before = self._page_set.offer(key, revision, page)
         if before is None:
