--- a/packages/daemon/bulrushdeald/enginecalls.py
+++ b/packages/daemon/bulrushdeald/enginecalls.py
@@ -1,7 +1,7 @@
-"""Gives orders to engines over HTTP and reads what they hold.
+"""Sends orders to engines over HTTP and reads their state.
 
-An order is sent once and never again by this module; what became of one
-whose answer was lost is for the engine's own state to tell.
+This module sends an order once and never repeats it. If the answer is lost,
+the caller determines the outcome from the engine's state.
 """
 
 import http
@@ -27,15 +27,15 @@
 
 
 class EngineError(NamedTuple):
-    """An order or question that an engine did not answer with success.
+    """A call to an engine that did not succeed.
 
     Attributes:
-        kind: `not_sent`: no byte left. `unknown`: it may have been carried
-            out, now or later. `fenced`: the engine has seen a later number.
-            `later`: not now, as the weight store refused. `refused`: the
-            engine will not do it.
+        kind: `not_sent`: no byte was sent. `unknown`: the order may have been
+            executed, or may yet be. `fenced`: the engine has seen a later
+            fencing number. `later`: the weight store refused the fetch for
+            now. `refused`: the engine rejects the order.
         message: For operators.
-        retry_after_s: When to come back, for `later`.
+        retry_after_s: The seconds after which to retry, for `later`.
     """
 
     kind: Literal["not_sent", "unknown", "fenced", "later", "refused"]
@@ -50,22 +50,22 @@
 
 
 class EngineCalls:
-    """Speaks the engines' protocol for orders."""
+    """A client of the engines' HTTP protocol for orders."""
 
     def __init__(self, upstreams: services.Upstreams) -> None:
         self._upstreams = upstreams
 
-    def state(
+    def read_state(
         self, upstream: records.Upstream
     ) -> result.Result[modelrecords.EngineState, EngineError]:
-        """Reads what an engine holds."""
+        """Reads which models an engine holds, and its role."""
         reply = self._call(upstream, "GET", STATE_PATH, b"", _READ_TIMEOUT_S)
         if isinstance(reply, result.Err):
             return reply
         return _engine_state(reply.ok_value)
 
-    def running(self, upstream: records.Upstream) -> int | None:
-        """Reads how many requests run or wait there; `None` if unknown."""
+    def count_requests(self, upstream: records.Upstream) -> int | None:
+        """Reads how many requests run or queue; `None` if unknown."""
         reply = self._call(upstream, "GET", LOAD_PATH, b"", _READ_TIMEOUT_S)
         if isinstance(reply, result.Err):
             return None
@@ -75,13 +75,13 @@
         except (ValueError, KeyError, TypeError):
             return None
 
-    def order(
+    def send_order(
         self,
         upstream: records.Upstream,
         order: modelrecords.Order,
         timeout_s: float,
     ) -> result.Result[modelrecords.EngineState, EngineError]:
-        """Sends an order with its fencing number and waits for its end.
+        """Sends an order with its fencing number and waits for the answer.
 
         Returns:
             What the engine holds afterwards.
@@ -101,7 +101,7 @@
             return reply
         if reply.ok_value.status == http.HTTPStatus.OK:
             return _engine_state(reply.ok_value)
-        return result.Err(_refusal(reply.ok_value))
+        return result.Err(_error_of(reply.ok_value))
 
     def _call(
         self,
@@ -111,9 +111,10 @@
         body: bytes,
         timeout_s: float,
     ) -> result.Result[_Reply, EngineError]:
-        # The timeout of a call is its longest silence. An engine that sends
-        # a byte now and then would hold an order open beyond the time that
-        # a successor waits for, so the whole call is cut as well.
+        # The timeout of `send` limits only the silence between bytes. An
+        # engine that sends a byte now and then could keep an order open for
+        # longer than a VM that takes it over waits, so a timer limits the
+        # whole call.
         cancels: list[Any] = []
         timer = threading.Timer(
             timeout_s, lambda: [cancel() for cancel in cancels]
@@ -132,20 +133,22 @@
                 on_open=cancels.append,
             )
             if isinstance(sent, result.Err):
-                return result.Err(_lost(sent.err_value))
-            return _read(sent.ok_value)
+                return result.Err(_send_error(sent.err_value))
+            return _read_reply(sent.ok_value)
         finally:
             timer.cancel()
 
 
-def _read(
+def _read_reply(
     answer: services.UpstreamAnswer,
 ) -> result.Result[_Reply, EngineError]:
     body = b""
     try:
         for chunk in answer.chunks():
             if isinstance(chunk, result.Err):
-                return result.Err(EngineError("unknown", "The answer is cut."))
+                return result.Err(
+                    EngineError("unknown", "The answer is cut off.")
+                )
             body += chunk.ok_value
             if len(body) > _MAX_ANSWER_BYTES:
                 message = "The answer is too long."
@@ -157,7 +160,7 @@
     return result.Ok(reply)
 
 
-def _lost(error: services.UpstreamError) -> EngineError:
+def _send_error(error: services.UpstreamError) -> EngineError:
     if error.ran == "not_run":
         return EngineError("not_sent", f"Not reached: {error.message}")
     return EngineError("unknown", f"No answer: {error.message}")
@@ -167,18 +170,18 @@
     reply: _Reply,
 ) -> result.Result[modelrecords.EngineState, EngineError]:
     if reply.status != http.HTTPStatus.OK:
-        return result.Err(_refusal(reply))
+        return result.Err(_error_of(reply))
     try:
         state = codec.from_plain(
             modelrecords.EngineState, json.loads(reply.body)
         )
     except (ValueError, codec.CodecError) as error:
-        message = f"The answer is no engine's state: {error}"
+        message = f"The answer is not an engine's state: {error}"
         return result.Err(EngineError("unknown", message))
     return result.Ok(state)
 
 
-def _refusal(reply: _Reply) -> EngineError:
+def _error_of(reply: _Reply) -> EngineError:
     message = _message(reply)
     if reply.status == http.HTTPStatus.CONFLICT:
         return EngineError("fenced", message)
@@ -188,7 +191,7 @@
     ):
         return EngineError("later", message, _retry_after_s(reply.retry_after))
     if reply.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR:
-        # It failed in the middle; how far it came is not known.
+        # The engine failed during the order; its progress is unknown.
         return EngineError("unknown", message)
     return EngineError("refused", message)
 
@@ -207,5 +210,5 @@
         retry_s = float(text)
     except ValueError:
         return _DEFAULT_RETRY_S
-    # A comparison with NaN is false, so it gives the default as well.
+    # A comparison with NaN is false, so NaN also gives the default.
     return min(retry_s, _MAX_RETRY_S) if retry_s >= 0 else _DEFAULT_RETRY_S
--- a/packages/daemon/bulrushdeald/fetchpermits.py
+++ b/packages/daemon/bulrushdeald/fetchpermits.py
@@ -1,10 +1,10 @@
 """Limits how many engines fetch weights at once, over all VMs.
 
-The weight store serves only so much. The permits stand in one record of the
-platform's service, taken and given back by compare-and-swap. A permit
-belongs to the engine whose order it is for, not to the VM that sends it: a
-VM that dies leaves its permit with the order, whose next orderer uses it and
-gives it back, so none is lost and none has to be timed out.
+The weight store has limited capacity. One record in the platform's store
+lists the permits, which are acquired and released by compare-and-swap. A
+permit belongs to the engine that is ordered, not to the VM that sends the
+order: if that VM dies, the VM that takes the order over uses and releases the
+same permit. So no permit is lost, and none needs a timeout.
 """
 
 import json
@@ -25,28 +25,28 @@
 
 
 class Permits(NamedTuple):
-    """Who may fetch weights.
+    """The stored record of permits.
 
     Attributes:
-        upstreams: The engines that may.
-        paused_until_wall_s: The store asked to be left alone until then.
-            Only says when to come back, so clocks that differ do no harm
-            beyond another refusal or a longer wait.
+        upstreams: The engines that hold a permit.
+        paused_until_wall_s: When the pause that the store asked for ends, in
+            seconds of wall-clock time. Clocks that differ only cause another
+            refusal or a longer wait.
     """
 
     upstreams: tuple[str, ...] = ()
     paused_until_wall_s: float = 0.0
 
 
-class Wait(NamedTuple):
-    """Why there is no permit now, and when to ask again."""
+class Denial(NamedTuple):
+    """Why no permit was acquired, and the seconds until the next attempt."""
 
     reason: str
     retry_s: float
 
 
 class FetchPermits:
-    """Takes and gives back permits; holds nothing itself."""
+    """Acquires and releases permits; keeps no state of its own."""
 
     def __init__(
         self,
@@ -58,8 +58,8 @@
         self._clock = clock
         self._max_fetches = max_fetches
 
-    def take(self, upstream: str) -> result.Result[None, Wait]:
-        """Takes a permit for an engine; one that it has is as good."""
+    def acquire(self, upstream: str) -> result.Result[None, Denial]:
+        """Acquires a permit for an engine; keeps one that it already holds."""
         entry = self._keyvalue.get(KEY)
         for _ in range(_MAX_ATTEMPTS):
             if isinstance(entry, result.Err):
@@ -69,12 +69,12 @@
                 break
             paused_s = permits.paused_until_wall_s - self._clock.wall_s()
             if paused_s > 0:
-                return result.Err(Wait("The weight store is busy.", paused_s))
+                return result.Err(Denial("The weight store is busy.", paused_s))
             if upstream in permits.upstreams:
                 return result.Ok(None)
             if len(permits.upstreams) >= self._max_fetches:
-                reason = "As many engines fetch weights as may."
-                return result.Err(Wait(reason, _FULL_RETRY_S))
+                reason = "The limit of engines that fetch weights is reached."
+                return result.Err(Denial(reason, _FULL_RETRY_S))
             taken = permits._replace(upstreams=(*permits.upstreams, upstream))
             put = self._write(entry.ok_value, taken)
             if isinstance(put, result.Ok):
@@ -82,14 +82,21 @@
             if put.err_value.kind != "conflict":
                 break
             entry = result.Ok(put.err_value.current)
-        return result.Err(Wait("No permit can be taken.", _PLATFORM_RETRY_S))
+        return result.Err(
+            Denial(
+                "The record of permits cannot be updated.", _PLATFORM_RETRY_S
+            )
+        )
 
     def release(self, upstream: str, pause_s: float = 0.0) -> bool:
-        """Gives a permit back; false if that is not known to be done.
+        """Releases a permit.
 
         Args:
-            upstream: The engine; one without a permit is no error.
-            pause_s: For how long the store asked to be left alone.
+            upstream: The engine; it is no error if it holds no permit.
+            pause_s: The seconds for which the store asked for no fetches.
+
+        Returns:
+            False if the release failed or its outcome is unknown.
         """
         entry = self._keyvalue.get(KEY)
         for _ in range(_MAX_ATTEMPTS):
@@ -98,10 +105,10 @@
             permits = _decode(entry.ok_value)
             if permits is None:
                 return False
-            given = self._given(permits, upstream, pause_s)
-            if given == permits:
+            released = self._released(permits, upstream, pause_s)
+            if released == permits:
                 return True
-            put = self._write(entry.ok_value, given)
+            put = self._write(entry.ok_value, released)
             if isinstance(put, result.Ok):
                 return True
             if put.err_value.kind != "conflict":
@@ -109,7 +116,7 @@
             entry = result.Ok(put.err_value.current)
         return False
 
-    def _given(
+    def _released(
         self, permits: Permits, upstream: str, pause_s: float
     ) -> Permits:
         until_s = permits.paused_until_wall_s
--- a/packages/daemon/bulrushdeald/modelorders.py
+++ b/packages/daemon/bulrushdeald/modelorders.py
@@ -1,7 +1,7 @@
 """The service that orders engines to load and unload models.
 
-A few VMs watch the records of orders and share the engines out among them;
-`orderer` carries the orders out, `modelroutes` takes them from operators.
+A few VMs watch the order records and divide the engines among themselves;
+`orderer` executes the orders, `modelroutes` accepts them from operators.
 """
 
 import threading
@@ -31,19 +31,19 @@
 NAME = "modelorders"
 _log = logs.Log("orders")
 _TICK_S = 0.2
-# A rollout to all engines has thousands of orders that wait for weights or
-# for requests to end, and each step reads at the platform. So many steps
-# begin in a tick; those that are due longest come first.
-_STEPS_A_TICK = 4
-_WATCH_S = 10.0
-# So long between two watches: a rollout that changes many records wakes a
-# watcher once a second, not once for each.
-_WATCH_GAP_S = 1.0
+# The number of steps started per tick, the longest due first. In a rollout
+# to all engines, thousands of orders wait for weights or for requests to end,
+# and each step reads from the platform.
+_MAX_STEPS_PER_TICK = 4
+_WATCH_TIMEOUT_S = 10.0
+# The pause between two watches: a rollout that changes many records wakes a
+# watcher once a second instead of once per record.
+_WATCH_PAUSE_S = 1.0
 _RETRY_S = 1.0
 
 
 class ModelOrders:
-    """Watches for orders and steps those that are this VM's."""
+    """Watches for orders and executes those assigned to this VM."""
 
     def __init__(
         self,
@@ -57,17 +57,17 @@
         self._metrics = metrics_lib.connect(settings.statsd_address)
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        # When each engine with an open order is to be stepped next.
+        # The time of the next step of each engine with an open order.
         self._due_s: dict[str, float] = {}
         self._running: set[str] = set()
-        # Engines of which something was learned while they were stepped.
-        self._changed: set[str] = set()
+        # Engines whose record changed while a step of theirs was running.
+        self._changed_during_step: set[str] = set()
         self._watched_revision = 0
         self._has_listed = False
         self._was_order_vm = False
 
     def attach(self, calls: enginecalls.EngineCalls | None = None) -> None:
-        """Finds the other services and adds the routes; starts no thread."""
+        """Looks up the other services and adds the routes; starts no thread."""
         find = self._kernel.find
         keyvalue = find(services.KEYVALUE, services.KeyValue)
         config = find(services.CONFIG, config_lib.ConfigService)
@@ -88,16 +88,16 @@
         modelroutes.add(routes, keyvalue, config, self._clock)
 
     def start(self) -> None:
-        """Begins to watch and to step."""
+        """Starts the threads that watch the records and step the engines."""
         self.attach()
         for target in (self._run_watch, self._run_steps):
             threading.Thread(target=target, name="orders", daemon=True).start()
 
     def stop(self, grace_s: float) -> None:
-        """Begins no more steps.
+        """Starts no further steps.
 
-        An order that is out may take minutes and is not waited for: its
-        record says that it was sent, and whoever reads that settles it.
+        An order in flight may take minutes and is not waited for: its record
+        says `sent`, and the VM that reads it next determines the outcome.
         """
         del grace_s
         self._stopping.set()
@@ -113,14 +113,18 @@
             }
 
     def watch_once(self, timeout_s: float) -> bool:
-        """Learns which engines have open orders; false if it cannot."""
+        """Reads which engines have open orders.
+
+        Returns:
+            False if the platform's service could not be read.
+        """
         is_order_vm = ordervms.is_order_vm(self._membership)
         if is_order_vm and not self._was_order_vm:
-            # Orders that did not change since are no news to a watch.
+            # A watch does not return orders that have not changed since.
             self._has_listed = False
         self._was_order_vm = is_order_vm
-        # Each VM lists once: what its last run had sent is its to settle,
-        # also if it is no longer one of those that order.
+        # Each VM lists once, even if it no longer orders engines: it has to
+        # determine the outcome of the orders that its previous run sent.
         if not is_order_vm and self._has_listed:
             return True
         if not self._has_listed:
@@ -135,10 +139,10 @@
         for entry in entries.ok_value:
             revision = max(self._watched_revision, entry.revision)
             self._watched_revision = revision
-            self._learn(entry)
+            self._schedule(entry)
         return True
 
-    def _learn(self, entry: services.Entry) -> None:
+    def _schedule(self, entry: services.Entry) -> None:
         try:
             record = modelrecords.load(entry.value)
         except codec.CodecError as error:
@@ -146,40 +150,43 @@
             return
         with self._lock:
             if record.first_open is not None:
-                # One that is known keeps its time: it may be waiting.
+                # A scheduled engine keeps its time: it may be waiting.
                 now_s = self._clock.monotonic_s()
                 self._due_s.setdefault(record.upstream, now_s)
             if record.upstream in self._running:
-                self._changed.add(record.upstream)
+                self._changed_during_step.add(record.upstream)
 
     def _run_watch(self) -> None:
         while not self._stopping.is_set():
-            is_ok = self.watch_once(_WATCH_S)
-            self._stopping.wait(_WATCH_GAP_S if is_ok else _RETRY_S)
+            is_ok = self.watch_once(_WATCH_TIMEOUT_S)
+            self._stopping.wait(_WATCH_PAUSE_S if is_ok else _RETRY_S)
 
     def _run_steps(self) -> None:
-        reported = -1
+        reported_count = -1
         while not self._stopping.wait(_TICK_S):
             for name in self.take_due():
                 threading.Thread(
                     target=self.step, args=(name,), name="order", daemon=True
                 ).start()
-            if len(self._due_s) != reported:
-                reported = len(self._due_s)
-                self._metrics.gauge("orders.open", reported)
+            if len(self._due_s) != reported_count:
+                reported_count = len(self._due_s)
+                self._metrics.gauge("orders.open", reported_count)
 
     def take_due(self) -> list[str]:
-        """Returns the engines to step now, and counts them as running."""
+        """Returns the engines to step now, and marks them as running."""
         now_s = self._clock.monotonic_s()
         with self._lock:
-            # Engines that are out of service for their order come first.
+            # Engines out of service because of their order come first.
             due = sorted(
-                (not self._orderer.is_under_way(name), due_s, name)
+                (not self._orderer.is_in_progress(name), due_s, name)
                 for name, due_s in self._due_s.items()
                 if due_s <= now_s and name not in self._running
             )
-            room = self._settings.order_threads - len(self._running)
-            taken = [name for _, _, name in due[: min(room, _STEPS_A_TICK)]]
+            free_threads = self._settings.order_threads - len(self._running)
+            taken = [
+                name
+                for _, _, name in due[: min(free_threads, _MAX_STEPS_PER_TICK)]
+            ]
             self._running.update(taken)
         return taken
 
@@ -192,10 +199,10 @@
             _log.exception("A step failed; it is tried again.")
         with self._lock:
             self._running.discard(name)
-            # An order may have come after the step had read that there is
-            # none; nothing would ever look for it again.
-            is_changed = name in self._changed
-            self._changed.discard(name)
+            # An order accepted after the step read that there is none would
+            # otherwise never be scheduled again.
+            is_changed = name in self._changed_during_step
+            self._changed_during_step.discard(name)
             if next_s is None and is_changed:
                 next_s = 0.0
             if next_s is None:
@@ -214,12 +221,14 @@
     metrics: metrics_lib.Metrics,
     clock: clock_lib.Clock,
 ) -> orderer_lib.Orderer:
-    """Returns the orderer of one VM with its parts."""
+    """Returns the orderer of one VM with its dependencies."""
     tasks = ordertasks.TaskStore(keyvalue, config)
     permits = fetchpermits.FetchPermits(
         keyvalue, clock, settings.weight_fetches
     )
-    ends = orderends.OrderEnds(tasks, calls, permits, served, metrics, clock)
+    finisher = orderends.OrderFinisher(
+        tasks, calls, permits, served, metrics, clock
+    )
     return orderer_lib.Orderer(
-        settings, membership, tasks, calls, permits, ends, metrics, clock
+        settings, membership, tasks, calls, permits, finisher, metrics, clock
     )
--- a/packages/daemon/bulrushdeald/modelrecords.py
+++ b/packages/daemon/bulrushdeald/modelrecords.py
@@ -1,4 +1,4 @@
-"""The records of orders to engines, and what an order makes of an engine."""
+"""The records of orders to engines, and an order's effect on an engine."""
 
 import json
 from typing import Literal, NamedTuple
@@ -18,8 +18,8 @@
     """A model or adapter that an engine holds.
 
     Attributes:
-        model: The name that callers ask for.
-        version: Which weights; empty for those the engine takes by itself.
+        model: The name that callers request.
+        version: The version of the weights; empty for the engine's default.
         base: The model that an adapter belongs to; empty for a model.
     """
 
@@ -29,29 +29,32 @@
 
 
 class EngineState(NamedTuple):
-    """What an engine holds, as it says itself."""
+    """What an engine reports that it holds."""
 
     models: tuple[Loaded, ...] = ()
     role: Role = ""
 
 
 class Order(NamedTuple):
-    """One order of an operator to an engine.
+    """An operator's order to an engine.
 
     Attributes:
-        number: Counts the engine's orders; they are carried out in turn.
+        number: Counts the engine's orders, which run in this sequence.
         action: A `load` also replaces another version of the same model.
         model: The model or adapter, for load and unload.
         version: The version to load.
         base: The model that an adapter is loaded beside.
         role: The role, for `role`.
-        state: `draining`: the model is out of the engine's row, and the
-            requests that run end. `sent`: it may be on its way. `failing`:
-            it is not sent any more, and its end is being stored.
+        state: `draining`: the model is being taken out of the engine's row,
+            and its running requests end. `sent`: the order may be in flight.
+            `failing`: the order is not sent again, and its failure is being
+            stored.
         reason: Why it failed, or what it waits for.
-        fence: The fencing number that it was sent with last.
-        accepted_wall_s: When, for people and for the deadline.
-        ended_wall_s: When it was done or failed, for people.
+        fence: The fencing number with which it was last sent.
+        accepted_wall_s: When it was accepted, in seconds of wall-clock time;
+            for operators and for the deadline.
+        ended_wall_s: When it was done or failed, in seconds of wall-clock
+            time; for operators.
     """
 
     number: int
@@ -68,20 +71,22 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it has still to be carried out."""
+        """Whether the order is neither done nor failed."""
         return self.state not in ("done", "failed")
 
 
 class EngineOrders(NamedTuple):
-    """The record of one engine; it stays, so its numbers never go back.
+    """The record of one engine.
+
+    The record is never deleted, so its numbers never decrease.
 
     Attributes:
         upstream: The engine.
-        fence: The greatest fencing number given out; each sending takes the
+        fence: The greatest fencing number assigned; each sending gets the
             next one by the compare-and-swap that marks the order `sent`.
-        vm: The VM that sent last.
+        vm: The VM that last sent an order.
         incarnation: The run of that VM's process.
-        orders: Open ones, and some that ended, by number.
+        orders: The open orders and the latest ended ones, by number.
         engine: What the engine held when an order last ended.
     """
 
@@ -94,7 +99,7 @@
 
     @property
     def first_open(self) -> Order | None:
-        """The order whose turn it is."""
+        """The open order with the lowest number, which runs next."""
         return next((order for order in self.orders if order.is_open), None)
 
 
@@ -104,15 +109,15 @@
 
 
 def dump(record: EngineOrders) -> bytes:
-    """Returns a record as JSON, which operators can read."""
+    """Encodes a record as JSON, which operators can read."""
     return json.dumps(codec.to_object(record), separators=(",", ":")).encode()
 
 
 def load(value: bytes) -> EngineOrders:
-    """Returns the record in `value`.
+    """Decodes a record.
 
     Raises:
-        codec.CodecError: It is no such record.
+        codec.CodecError: `value` is not a record of orders.
     """
     try:
         plain = json.loads(value)
@@ -121,38 +126,38 @@
     return codec.from_plain(EngineOrders, plain)
 
 
-def same_open(record: EngineOrders, asked: Order) -> Order | None:
-    """Returns the newest order if it is open and asks for the same.
+def find_duplicate(record: EngineOrders, asked: Order) -> Order | None:
+    """Returns the newest order if it is open and has the same content.
 
-    A request whose answer was lost is sent again by its operator; it must
-    not become a second order.
+    An operator who did not get the answer to a request repeats it; the
+    repetition must not become a second order.
     """
     newest = record.orders[-1] if record.orders else None
     if newest is None or not newest.is_open:
         return None
-    return newest if _asked(newest) == _asked(asked) else None
+    return newest if _content(newest) == _content(asked) else None
 
 
-def accept(record: EngineOrders, asked: Order) -> EngineOrders:
-    """Appends an order and forgets the oldest ones that ended."""
+def append_order(record: EngineOrders, asked: Order) -> EngineOrders:
+    """Appends an order and drops the oldest ended ones."""
     last = record.orders[-1].number if record.orders else 0
     ended = [order for order in record.orders if not order.is_open]
     kept = ended[-_MAX_ENDED:]
-    still = [order for order in record.orders if order.is_open]
+    open_orders = [order for order in record.orders if order.is_open]
     order = asked._replace(number=last + 1)
-    return record._replace(orders=(*kept, *still, order))
+    return record._replace(orders=(*kept, *open_orders, order))
 
 
-def replace(record: EngineOrders, order: Order) -> EngineOrders:
-    """Puts an order in the place of the one with its number."""
+def replace_order(record: EngineOrders, order: Order) -> EngineOrders:
+    """Replaces the order with the same number."""
     orders = tuple(
         order if held.number == order.number else held for held in record.orders
     )
     return record._replace(orders=orders)
 
 
-def shows(engine: EngineState, order: Order) -> bool:
-    """Tells whether an engine's state is what an order asks for."""
+def satisfies(engine: EngineState, order: Order) -> bool:
+    """Returns whether an engine's state satisfies an order."""
     if order.action == "role":
         return engine.role == order.role
     if order.action == "unload":
@@ -160,24 +165,24 @@
     wanted = Loaded(order.model, order.version, order.base)
     if order.version:
         return wanted in engine.models
-    # Without a version any version of it will do.
+    # An order without a version accepts any version of the model.
     return any(held._replace(version="") == wanted for held in engine.models)
 
 
-def wanted(record: EngineOrders) -> EngineState:
-    """Returns what the engine is to hold when all open orders are done."""
+def target_state(record: EngineOrders) -> EngineState:
+    """Returns the engine's state after all open orders are done."""
     engine = record.engine
     for order in record.orders:
         if order.is_open:
-            engine = applied(engine, order)
+            engine = apply_order(engine, order)
     return engine
 
 
-def applied(engine: EngineState, order: Order) -> EngineState:
-    """Returns what an order makes of an engine's state."""
+def apply_order(engine: EngineState, order: Order) -> EngineState:
+    """Returns an engine's state after an order is done."""
     if order.action == "role":
         return engine._replace(role=order.role)
-    # An adapter is gone with the model that it belongs to.
+    # Unloading a model also drops its adapters.
     others = tuple(
         held
         for held in engine.models
@@ -190,7 +195,7 @@
     return engine._replace(models=(*others, added))
 
 
-def _asked(order: Order) -> tuple[str, ...]:
+def _content(order: Order) -> tuple[str, ...]:
     return (
         order.action,
         order.model,
--- a/packages/daemon/bulrushdeald/modelroutes.py
+++ b/packages/daemon/bulrushdeald/modelroutes.py
@@ -1,4 +1,4 @@
-"""The operators' routes to orders for engines."""
+"""The operators' HTTP routes for orders to engines."""
 
 import re
 from typing import Any
@@ -27,7 +27,7 @@
 
 
 class ModelRoutes:
-    """Takes orders and shows what became of them."""
+    """Accepts orders and shows their state."""
 
     def __init__(
         self,
@@ -40,15 +40,19 @@
         self._clock = clock
 
     def post(self, request: httpd.Request) -> httpd.Response:
-        """Accepts an order: from the answer on it is carried out or fails."""
-        upstream = _upstream(request)
+        """Accepts an order.
+
+        The order is stored before the answer is sent, and is either carried
+        out or fails.
+        """
+        upstream = _upstream_name(request)
         if upstream is None:
-            return replies.error(404, "not_found", "Nothing is here.")
+            return replies.error(404, "not_found", "There is no such route.")
         asked = _read_order(replies.body_object(request))
-        known = {row.upstream: row for row in self._config.upstreams()}
-        row = known.get(upstream)
+        rows = {row.upstream: row for row in self._config.upstreams()}
+        row = rows.get(upstream)
         if row is None:
-            message = f"There is no {upstream!r}."
+            message = f"There is no upstream {upstream!r}."
             return replies.error(404, "missing", message)
         if row.kind != "engine":
             message = f"{upstream!r} is a plain service and takes no orders."
@@ -70,17 +74,19 @@
                 if entry is not None:
                     record = modelrecords.load(entry.value)
             except codec.CodecError as error:
-                # Written over, its numbers would begin anew.
+                # Overwriting the record would restart its numbers.
                 message = f"The orders of {upstream!r} are unreadable: {error}"
                 return replies.error(503, "unavailable", message)
-            same = modelrecords.same_open(record, asked)
+            same = modelrecords.find_duplicate(record, asked)
             if same is not None:
                 return _accepted(upstream, same)
             count = sum(order.is_open for order in record.orders)
             if count >= modelrecords.MAX_OPEN:
-                message = f"{upstream!r} has {count} open orders; wait."
+                message = (
+                    f"{upstream!r} has {count} open orders; try again later."
+                )
                 return replies.error(409, "full", message)
-            changed = modelrecords.accept(record, asked)
+            changed = modelrecords.append_order(record, asked)
             put = self._keyvalue.put(
                 modelrecords.key(upstream),
                 modelrecords.dump(changed),
@@ -91,30 +97,30 @@
             if put.err_value.kind != "conflict":
                 return _unavailable(put.err_value)
             entry = put.err_value.current
-        message = f"{upstream!r} is being changed all the time; try again."
+        message = f"The orders of {upstream!r} keep changing; try again."
         return replies.error(503, "unavailable", message)
 
     def get(self, request: httpd.Request) -> httpd.Response:
-        """Answers one engine's orders, what it holds and is to hold."""
-        upstream = _upstream(request)
+        """Returns an engine's orders, its state and its target state."""
+        upstream = _upstream_name(request)
         if upstream is None:
-            return replies.error(404, "not_found", "Nothing is here.")
+            return replies.error(404, "not_found", "There is no such route.")
         read = self._keyvalue.get(modelrecords.key(upstream))
         if isinstance(read, result.Err):
             return _unavailable(read.err_value)
         entries = () if read.ok_value is None else (read.ok_value,)
-        return _shown(entries)
+        return _listing(entries)
 
     def list(self, request: httpd.Request) -> httpd.Response:
-        """Answers the orders of all engines."""
+        """Returns the orders and states of all engines."""
         del request
         listed = self._keyvalue.list(modelrecords.PREFIX)
         if isinstance(listed, result.Err):
             return _unavailable(listed.err_value)
-        return _shown(listed.ok_value)
+        return _listing(listed.ok_value)
 
 
-def _upstream(request: httpd.Request) -> str | None:
+def _upstream_name(request: httpd.Request) -> str | None:
     if not request.path.endswith(_SUFFIX):
         return None
     return request.path.removeprefix(_UPSTREAMS).removesuffix(_SUFFIX)
@@ -133,7 +139,7 @@
             raise replies.BadRequestError(message, field)
         is_name = isinstance(value, str) and bool(_NAME.match(value))
         if not is_name and value != "":
-            raise replies.BadRequestError("It is no name.", field)
+            raise replies.BadRequestError("It is not a valid name.", field)
     required = _REQUIRED[action]
     if not body.get(required):
         raise replies.BadRequestError("It is required.", required)
@@ -141,7 +147,7 @@
         message = f"Allowed: {', '.join(_ROLES)}."
         raise replies.BadRequestError(message, "role")
     if body.get("base") == body.get("model") and body.get("base"):
-        message = "An adapter has another name than its model."
+        message = "An adapter must not have the name of its model."
         raise replies.BadRequestError(message, "base")
     return codec.from_plain(modelrecords.Order, {**body, "number": 0})
 
@@ -150,7 +156,7 @@
     return httpd.json_response(200, _order_row(upstream, order))
 
 
-def _shown(entries: tuple[services.Entry, ...]) -> httpd.Response:
+def _listing(entries: tuple[services.Entry, ...]) -> httpd.Response:
     rows: list[dict[str, Any]] = []
     engines: list[dict[str, Any]] = []
     for entry in entries:
@@ -166,7 +172,7 @@
                 "fence": record.fence,
                 "vm": record.vm,
                 "holds": codec.to_object(record.engine),
-                "wanted": codec.to_object(modelrecords.wanted(record)),
+                "wanted": codec.to_object(modelrecords.target_state(record)),
             }
         )
     return httpd.json_response(200, {"orders": rows, "engines": engines})
@@ -178,7 +184,9 @@
 
 def _unavailable(error: services.KeyValueError) -> httpd.Response:
     if error.kind == "unknown":
-        message = "It is unknown whether the order was accepted; look."
+        message = (
+            "It is unknown whether the order was accepted; check its state."
+        )
         return replies.error(503, "unknown", f"{message} {error.message}")
     message = "The platform does not answer; no order was accepted."
     return replies.error(503, "unavailable", f"{message} {error.message}")
--- a/packages/daemon/bulrushdeald/orderends.py
+++ b/packages/daemon/bulrushdeald/orderends.py
@@ -1,4 +1,4 @@
-"""Ends orders: brings the row in step, gives the permit back, stores it."""
+"""Finishes orders: updates the row, releases the permit, stores the result."""
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import logs
@@ -12,8 +12,11 @@
 _log = logs.Log("orders")
 
 
-class OrderEnds:
-    """Ends orders for one VM; each method is false if it has to be redone."""
+class OrderFinisher:
+    """Finishes orders for one VM.
+
+    A method that returns a bool returns false if it has to be repeated.
+    """
 
     def __init__(
         self,
@@ -31,45 +34,45 @@
         self._metrics = metrics
         self._clock = clock
 
-    def done(
+    def complete(
         self, task: ordertasks.Task, engine: modelrecords.EngineState
     ) -> bool:
-        """Ends an order that the engine's state shows."""
-        return self._end(task, "done", "", engine)
+        """Finishes an order that the engine's state satisfies."""
+        return self._finish(task, "done", "", engine)
 
-    def failed(self, task: ordertasks.Task, reason: str) -> bool:
-        """Ends an order for a reason that operators are shown.
+    def fail(self, task: ordertasks.Task, reason: str) -> bool:
+        """Finishes an order as failed, with a reason shown to operators.
 
-        That it failed is stored before the row names the model again. The
-        failure: the end could not be stored, and the order was sent again
+        The state `failing` is stored before the row names the model again.
+        Otherwise, if the end could not be stored, the order was sent again
         to an engine that served its model.
         """
         failing = task.order._replace(state="failing", reason=reason)
-        stored = self._put(task, failing)
-        return stored is not None and self.finish(stored)
+        stored = self._store(task, failing)
+        return stored is not None and self.finish_failing(stored)
 
-    def finish(self, task: ordertasks.Task) -> bool:
-        """Ends an order that is stored as failing."""
+    def finish_failing(self, task: ordertasks.Task) -> bool:
+        """Finishes an order whose stored state is `failing`."""
         engine: modelrecords.EngineState | None = None
-        if task.is_known:
-            engine = self._calls.state(task.upstream).ok()
-        return self._end(task, "failed", task.order.reason, engine)
+        if task.is_configured:
+            engine = self._calls.read_state(task.upstream).ok()
+        return self._finish(task, "failed", task.order.reason, engine)
 
-    def put_off(
+    def postpone(
         self, task: ordertasks.Task, waiting: modelrecords.Order
     ) -> None:
-        """Lets an order wait, and serves what the engine holds meanwhile."""
-        stored = self._put(task, waiting)
+        """Stores that an order waits, and serves what the engine holds."""
+        stored = self._store(task, waiting)
         if stored is not None:
-            state = self._calls.state(stored.upstream)
-            self._bring_row_in_step(stored, state.ok())
+            state = self._calls.read_state(stored.upstream)
+            self._sync_row(stored, state.ok())
 
-    def _put(
+    def _store(
         self, task: ordertasks.Task, order: modelrecords.Order
     ) -> ordertasks.Task | None:
         if not self._tasks.put(task, order):
             return None
-        return self._tasks.read_again(task._replace(order=order))
+        return self._tasks.reread(task._replace(order=order))
 
     def set_served(
         self,
@@ -77,29 +80,29 @@
         names: frozenset[str],
         is_served: bool,
     ) -> bool:
-        """Changes the engine's row while it is the order's turn."""
-        # What is in force here may be older than the row that is stored, so
-        # the stored one is read also if nothing seems to change.
+        """Changes the engine's row unless the order has changed since."""
+        # The row that this VM applies may be older than the stored one, so
+        # the stored row is read even if nothing seems to change.
         edited = self._served.set_served(
             task.upstream.upstream,
             names,
             is_served,
-            lambda: self._tasks.is_same_turn(task),
+            lambda: self._tasks.is_unchanged(task),
         )
         return edited.is_ok()
 
-    def _end(
+    def _finish(
         self,
         task: ordertasks.Task,
         state: modelrecords.OrderState,
         reason: str,
         engine: modelrecords.EngineState | None,
     ) -> bool:
-        # In this turn: a VM that dies in between leaves the order open, and
-        # whoever finds it so does the same again.
-        if not self._bring_row_in_step(task, engine):
+        # The end is stored last: if this VM dies before, the order stays
+        # open, and the next VM repeats these steps.
+        if not self._sync_row(task, engine):
             return False
-        if not self._give_permit_back(task):
+        if not self._release_permit(task):
             return False
         ended = task.order._replace(
             state=state, reason=reason, ended_wall_s=self._clock.wall_s()
@@ -116,24 +119,26 @@
         )
         return True
 
-    def _bring_row_in_step(
+    def _sync_row(
         self,
         task: ordertasks.Task,
         engine: modelrecords.EngineState | None,
     ) -> bool:
-        """Serves what the engine holds; nothing new if that is unknown."""
-        if engine is None or not task.is_known:
+        """Makes the row name the models held; no change if that is unknown."""
+        if engine is None or not task.is_configured:
             return True
         held = {loaded.model for loaded in engine.models}
         for is_served in (True, False):
             names = frozenset(
-                name for name in task.names if (name in held) == is_served
+                name
+                for name in task.affected_models
+                if (name in held) == is_served
             )
             if names and not self.set_served(task, names, is_served):
                 return False
         return True
 
-    def _give_permit_back(self, task: ordertasks.Task) -> bool:
+    def _release_permit(self, task: ordertasks.Task) -> bool:
         if task.order.action != "load":
             return True
         return self._permits.release(task.record.upstream)
--- a/packages/daemon/bulrushdeald/ordertasks.py
+++ b/packages/daemon/bulrushdeald/ordertasks.py
@@ -1,4 +1,4 @@
-"""Reads and writes the records of orders, each order in its turn."""
+"""Reads and writes the order records; each engine's orders run in sequence."""
 
 from typing import NamedTuple
 
@@ -15,13 +15,14 @@
 
 
 class Task(NamedTuple):
-    """One engine's record as it was read, and the order whose turn it is.
+    """An engine's record as it was read, and its first open order.
 
     Attributes:
-        entry: The record as stored.
-        record: The same, decoded.
-        order: The first open order in it.
-        upstream: The engine's row; without an address if it has none.
+        entry: The stored entry of the record.
+        record: The decoded record.
+        order: The first open order in the record.
+        upstream: The engine's row; its address is empty if the configuration
+            has no row for the engine.
     """
 
     entry: services.Entry
@@ -30,13 +31,13 @@
     upstream: records.Upstream
 
     @property
-    def is_known(self) -> bool:
-        """Whether the operators still list the engine."""
+    def is_configured(self) -> bool:
+        """Whether the configuration has a row for the engine."""
         return bool(self.upstream.address)
 
     @property
-    def names(self) -> frozenset[str]:
-        """What callers cannot ask for while the order is carried out."""
+    def affected_models(self) -> frozenset[str]:
+        """The model and adapters that are not served during the order."""
         if self.order.action == "role":
             return frozenset()
         adapters = {
@@ -48,7 +49,7 @@
 
 
 class TaskStore:
-    """Stores what became of an order, unless its turn went to another VM."""
+    """Stores the state of orders, unless another VM has advanced them."""
 
     def __init__(
         self, keyvalue: services.KeyValue, config: services.Config
@@ -84,19 +85,28 @@
         order: modelrecords.Order,
         engine: modelrecords.EngineState | None = None,
     ) -> bool:
-        """Stores an order's new state; false if that is not known to be done.
+        """Stores an order's new state.
 
         Args:
-            task: As it was read; its turn must not have gone by.
-            order: In the place of the task's.
+            task: The task as it was read; the write is refused if the stored
+                order has changed since.
+            order: The order that replaces the task's.
             engine: What the engine holds, if it was read.
+
+        Returns:
+            True if the write succeeded; false if it failed or its outcome is
+            unknown.
         """
         entry: services.Entry | None = task.entry
         record: modelrecords.EngineOrders | None = task.record
         for _ in range(_MAX_ATTEMPTS):
-            if entry is None or record is None or not _same_turn(record, task):
+            if (
+                entry is None
+                or record is None
+                or not _is_unchanged(record, task)
+            ):
                 return False
-            changed = modelrecords.replace(record, order)
+            changed = modelrecords.replace_order(record, order)
             if engine is not None:
                 changed = changed._replace(engine=engine)
             put = self._keyvalue.put(
@@ -111,16 +121,16 @@
             record = _decode(entry)
         return False
 
-    def announce(self, task: Task, vm: str, incarnation: str) -> Task | None:
+    def mark_sent(self, task: Task, vm: str, incarnation: str) -> Task | None:
         """Marks an order `sent` with the next fencing number.
 
         Returns:
-            The task with that number, which nobody else has; `None` if
-            another VM was faster or nobody knows.
+            The task with that number, which no other VM can get; `None` if
+            another VM's write came first or the outcome is unknown.
         """
         fence = task.record.fence + 1
         sent = task.order._replace(state="sent", fence=fence, reason="")
-        record = modelrecords.replace(task.record, sent)._replace(
+        record = modelrecords.replace_order(task.record, sent)._replace(
             fence=fence, vm=vm, incarnation=incarnation
         )
         data = modelrecords.dump(record)
@@ -130,24 +140,29 @@
         entry = services.Entry(task.entry.key, data, put.ok_value)
         return Task(entry, record, sent, task.upstream)
 
-    def is_same_turn(self, task: Task) -> bool:
-        """Reads whether an order is still as it was, and not superseded."""
+    def is_unchanged(self, task: Task) -> bool:
+        """Reads whether the task's order is still the first open one.
+
+        Returns:
+            True if its state and the fencing number are those of the task;
+            false also if the record cannot be read.
+        """
         read = self._keyvalue.get(task.entry.key)
         if isinstance(read, result.Err):
             return False
         record = _decode(read.ok_value)
-        return record is not None and _same_turn(record, task)
+        return record is not None and _is_unchanged(record, task)
 
-    def read_again(self, task: Task) -> Task | None:
-        """Reads a task anew; `None` if it is not its turn or unreadable."""
+    def reread(self, task: Task) -> Task | None:
+        """Reads a task again; `None` if it has changed or is unreadable."""
         read = self.read(task.record.upstream)
         if isinstance(read, result.Err) or read.ok_value is None:
             return None
         fresh = read.ok_value
-        return fresh if _same_turn(fresh.record, task) else None
+        return fresh if _is_unchanged(fresh.record, task) else None
 
 
-def _same_turn(record: modelrecords.EngineOrders, task: Task) -> bool:
+def _is_unchanged(record: modelrecords.EngineOrders, task: Task) -> bool:
     order = record.first_open
     return (
         order is not None
--- a/packages/daemon/bulrushdeald/servedmodels.py
+++ b/packages/daemon/bulrushdeald/servedmodels.py
@@ -1,8 +1,8 @@
-"""Keeps an engine's row in step with the models that it holds.
+"""Keeps the models in an engine's row consistent with those that it holds.
 
 The router sends a model's requests to the engines whose row names it. So a
-model is taken out of the row before an engine is ordered to drop it, and put
-in after the engine has said that it holds it.
+model is removed from the row before the engine is ordered to drop it, and
+added after the engine has reported that it holds the model.
 """
 
 from collections.abc import Callable
@@ -29,23 +29,26 @@
         is_served: bool,
         is_allowed: Callable[[], bool],
     ) -> Edited:
-        """Puts models into an engine's row or takes them out.
+        """Adds models to an engine's row or removes them.
 
         Args:
             upstream: The engine; nothing is changed if its row is gone.
-            models: The names that callers ask for.
-            is_served: Whether the row is to name them.
-            is_allowed: Asked after the page was read and before it is
-                written. An orderer that was frozen and superseded meanwhile
-                would undo what its successor did; the successor has changed
-                the page since, or is found out here.
+            models: The names that callers request.
+            is_served: Whether the row should name them.
+            is_allowed: Called after the page is read and before it is
+                written; if false, the edit ends with a conflict. Without it, a
+                VM that was frozen and replaced meanwhile would undo the edits
+                of its successor: a change made after the read fails the
+                write, an earlier one is detected by this call.
         """
 
         def rewrite(
             stored: edits.Stored,
         ) -> result.Result[pages.Page, edits.EditError]:
             if not is_allowed():
-                problem = edits.EditError("conflict", "Another VM orders.")
+                problem = edits.EditError(
+                    "conflict", "Another VM has taken the order over."
+                )
                 return result.Err(problem)
             rows = tuple(
                 _with_models(row, models, is_served)
--- a/tests/daemon/test_modelroutes.py
+++ b/tests/daemon/test_modelroutes.py
@@ -1,4 +1,4 @@
-"""Orders over HTTP: what engines, the weight store and operators see."""
+"""Tests of orders over HTTP: to engines, and from operators."""
 
 import io
 import json
@@ -45,15 +45,15 @@
     engine = served(orderdesk.DeskSettings(fencing=fencing))
     calls = calls_over_http()
     new = modelrecords.Order(2, "load", "a", "2", fence=7)
-    held = calls.order(row_of(engine), new, 5.0).unwrap()
-    assert modelrecords.shows(held, new)
+    held = calls.send_order(row_of(engine), new, 5.0).unwrap()
+    assert modelrecords.satisfies(held, new)
     old = modelrecords.Order(1, "load", "a", "1", fence=6)
-    answer = calls.order(row_of(engine), old, 5.0)
+    answer = calls.send_order(row_of(engine), old, 5.0)
     if fencing:
         assert answer.unwrap_err().kind == "fenced"
-    state = calls.state(row_of(engine)).unwrap()
-    assert modelrecords.shows(state, new) == bool(fencing)
-    assert calls.running(row_of(engine)) == 0
+    state = calls.read_state(row_of(engine)).unwrap()
+    assert modelrecords.satisfies(state, new) == bool(fencing)
+    assert calls.count_requests(row_of(engine)) == 0
     engine.stop()
 
 
@@ -67,19 +67,21 @@
     )
     calls = calls_over_http()
     row = row_of(engine)
-    busy = calls.order(row, modelrecords.Order(1, "load", "a", fence=1), 5.0)
+    busy = calls.send_order(
+        row, modelrecords.Order(1, "load", "a", fence=1), 5.0
+    )
     assert busy.unwrap_err().kind == "later"
     assert busy.unwrap_err().retry_after_s == 2.0
     unload = modelrecords.Order(2, "unload", "base", fence=2)
-    slow = calls.order(row, unload, 0.05)
+    slow = calls.send_order(row, unload, 0.05)
     assert slow.unwrap_err().kind == "unknown"
-    lost = calls.order(row, unload._replace(fence=3), 5.0)
+    lost = calls.send_order(row, unload._replace(fence=3), 5.0)
     assert lost.unwrap_err().kind == "unknown"
-    assert modelrecords.shows(calls.state(row).unwrap(), unload)
+    assert modelrecords.satisfies(calls.read_state(row).unwrap(), unload)
     orphan = modelrecords.Order(4, "load", "t", base="none", fence=4)
-    assert calls.order(row, orphan, 5.0).unwrap_err().kind == "refused"
+    assert calls.send_order(row, orphan, 5.0).unwrap_err().kind == "refused"
     engine.stop()
-    gone = calls.order(row, orphan, 5.0)
+    gone = calls.send_order(row, orphan, 5.0)
     assert gone.unwrap_err().kind == "not_sent"
     store.stop()
 
@@ -115,7 +117,7 @@
     operators = Operators()
     status, order = operators.call("POST", "e0", orderscene.LOAD)
     assert (status, order["number"], order["state"]) == (200, 1, "waiting")
-    # The answer was lost, and the operator sends it again.
+    # The answer was lost, and the operator repeats the request.
     assert operators.call("POST", "e0", orderscene.LOAD) == (status, order)
     _, shown = operators.call("GET", "e0")
     assert [row["number"] for row in shown["orders"]] == [1]
--- a/tests/daemon/test_ordermachine.py
+++ b/tests/daemon/test_ordermachine.py
@@ -1,10 +1,11 @@
-"""Random faults against orders to engines, checked by the fake engines.
-
-The oracle is in `orderfakes.FakeEngine.carry_out` and `FakeCalls.order`: an
-engine's state never goes back to an older order, no two orders to an engine
-without a check overlap, no model is dropped that a row still names, and no
-more engines fetch weights than may. Here: every accepted order ends, and a
-row names what its engine holds.
+"""Injects random faults into orders to engines.
+
+`orderfakes.FakeEngine.carry_out` and `FakeCalls.send_order` assert that an
+engine's state never reverts to an older order, that orders to an engine
+without a check of fencing numbers do not overlap, that no model is dropped
+while a row names it, and that no more engines fetch weights than allowed.
+This module asserts that every accepted order ends, and that a row names only
+models that its engine holds.
 """
 
 from typing import Any
@@ -28,14 +29,22 @@
     {"action": "role", "role": "decode"},
     {"action": "role", "role": "mixed"},
 )
-FATES = ("", "late", "late", "lost_before", "lost_after", "busy", "refused")
+SEND_OUTCOMES = (
+    "",
+    "late",
+    "late",
+    "lost_before",
+    "lost_after",
+    "busy",
+    "refused",
+)
 
 
 class _Orders(stateful.RuleBasedStateMachine):
     checks_fencing = True
-    # Until its connection is closed and the engine had its time; an engine
-    # that checks fencing numbers may be reached at any time.
-    latest_s = 2 * orderfakes.TIMEOUT_S
+    # One timeout until the connection is closed and one in the engine. An
+    # engine that checks fencing numbers may be reached at any time.
+    max_delay_s = 2 * orderfakes.TIMEOUT_S
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,24 +53,24 @@
     @stateful.rule(
         engine=engines,
         asked=st.sampled_from(ASKED),
-        fate=st.sampled_from(FATES),
+        outcome=st.sampled_from(SEND_OUTCOMES),
         late=st.floats(0, 1),
-        sender_goes=st.booleans(),
+        unlists_sender=st.booleans(),
     )
     def accept(
         self,
         engine: str,
         asked: dict[str, Any],
-        fate: orderfakes.Fate,
+        outcome: orderfakes.SendOutcome,
         late: float,
-        sender_goes: bool,
+        unlists_sender: bool,
     ) -> None:
         record = self.site.record(engine)
         if sum(order.is_open for order in record.orders) < 4:
             self.site.accept(engine, **asked)
-        self.site.engines[engine].fate = fate
-        self.site.engines[engine].late_s = late * self.latest_s
-        self.site.engines[engine].sender_goes = sender_goes
+        self.site.engines[engine].outcome = outcome
+        self.site.engines[engine].delay_s = late * self.max_delay_s
+        self.site.engines[engine].unlists_sender = unlists_sender
 
     @stateful.rule(seconds=st.sampled_from((1, 4, 15, 40, 100)))
     def go_on(self, seconds: int) -> None:
@@ -76,16 +85,16 @@
     def freeze(
         self, engine: str, moments: int, seconds: int, is_unlisted: bool
     ) -> None:
-        """Freezes the orderer before or after a call to the platform."""
+        """Freezes the engine's VM before or after a call to the store."""
         site = self.site
-        frozen = site.picked_for(engine)
+        frozen = site.assigned_vm(engine)
 
-        def others_go_on() -> None:
+        def run_others() -> None:
             if is_unlisted:
                 site.unlist(frozen.name)
             site.run(seconds)
 
-        frozen.keyvalue.freeze = others_go_on
+        frozen.keyvalue.freeze = run_others
         frozen.keyvalue.freeze_after = moments
         for _ in range(3):
             frozen.step(engine)
@@ -94,7 +103,7 @@
 
     @stateful.rule(vm=vms, seconds=st.sampled_from((0, 35)))
     def restart(self, vm: int, seconds: int) -> None:
-        """Replaces a VM's process; for a while it is not listed."""
+        """Restarts a VM's process; the VM is unlisted for a while."""
         self.site.vms[vm].restart()
         self.site.unlist(f"v{vm}")
         self.site.vms[vm].is_frozen = True
@@ -125,7 +134,7 @@
         end_s = site.clock.now_s + 4 * orderfakes.DEADLINE_S
         while site.has_open() and site.clock.now_s < end_s:
             site.run(50)
-        # A late order may still land, and must do no harm.
+        # A delayed order may still arrive and must cause no fault.
         site.run(20 * orderfakes.TIMEOUT_S)
         for name, engine in site.engines.items():
             self._check(name, engine)
@@ -136,29 +145,29 @@
             assert order.state in ("done", "failed")
             assert order.state == "done" or order.reason
         if record.orders and record.orders[-1].state == "done":
-            assert modelrecords.shows(engine.state, record.orders[-1])
+            assert modelrecords.satisfies(engine.state, record.orders[-1])
         held = {loaded.model for loaded in engine.state.models}
         assert set(self.site.stored_row(engine.row).models) <= held
 
 
 class FencingOrders(_Orders):
     checks_fencing = True
-    latest_s = 15 * orderfakes.TIMEOUT_S
+    max_delay_s = 15 * orderfakes.TIMEOUT_S
 
     @stateful.rule(
         engine=engines, seconds=st.sampled_from((5, 60)), vm_goes=st.booleans()
     )
     def freeze_sending(self, engine: str, seconds: int, vm_goes: bool) -> None:
-        """Freezes a VM after its last check, before the order leaves."""
+        """Freezes a VM after its last check, before it sends the order."""
         site = self.site
 
-        def others_go_on() -> None:
+        def run_others() -> None:
             site.engines[engine].on_order = lambda: None
             if vm_goes:
                 site.unlist(site.record(engine).vm)
             site.run(seconds)
 
-        site.engines[engine].on_order = others_go_on
+        site.engines[engine].on_order = run_others
         site.run(15)
         site.engines[engine].on_order = lambda: None
         site.listed.update(vm.name for vm in site.vms)
--- a/tests/daemon/test_orderpace.py
+++ b/tests/daemon/test_orderpace.py
@@ -1,4 +1,4 @@
-"""How many orders go at once, and which first; who fetches weights."""
+"""Tests of the number and sequence of concurrent orders, and of permits."""
 
 from typing import Any
 
@@ -12,11 +12,11 @@
 
 
 def test_permit_is_free_again_when_its_orderer_died() -> None:
-    # A VM dies after it took the only permit for weights. The permit is the
-    # engine's, so the next orderer uses it, and then others get it.
+    # A VM dies after it acquired the only permit. The permit belongs to the
+    # engine, so the next VM uses and releases it, and other engines get it.
     site = orderfakes.Site(True, 2, 2)
     site.accept("e0", **orderscene.LOAD)
-    dying = site.picked_for("e0")
+    dying = site.assigned_vm("e0")
     orderscene.freeze(dying, 6)
     with pytest.raises(orderscene.FrozenError):
         dying.step("e0")
@@ -30,58 +30,58 @@
 
 
 def test_refusal_of_the_weight_store_is_obeyed_by_all_vms() -> None:
-    # The store tells one engine to come back in 30 s. No VM lets any engine
-    # fetch before, and the version that the engine holds is served
-    # meanwhile; then the orders go on by themselves.
+    # The store refuses one engine for 30 s. Until then no VM lets any engine
+    # fetch, and the version that the engine holds is served; afterwards the
+    # orders continue without intervention.
     site = orderfakes.Site(True, 2, 2)
-    site.engines["e0"].fate = "busy"
+    site.engines["e0"].outcome = "busy"
     site.accept("e0", action="load", model="base", version="2")
     site.run(orderfakes.SETTLE_S + orderscene.PROMPTLY_S)
     assert site.last("e0").state == "waiting"
     assert site.stored_row(site.engines["e0"].row).models == ("base",)
     site.accept("e1", **orderscene.LOAD)
     site.run(20.0)
-    assert orderscene.numbers(site.engines["e1"]) == []
+    assert orderscene.fences(site.engines["e1"]) == []
     assert "weight store" in site.last("e1").reason
     site.run(100.0)
     assert [site.last(name).state for name in ("e0", "e1")] == ["done"] * 2
 
 
 def test_engines_that_wait_for_weights_go_on_serving() -> None:
-    # An operator orders another version on all engines. The weight store
-    # serves few at once; were all drained first, nothing would be served
-    # for the hours that the others take.
+    # An operator orders another version on all engines, and the weight store
+    # serves few at once. If all engines were drained first, the model would
+    # not be served for the hours that the fetches take.
     site = orderfakes.Site(True, 3, 1)
     for name, engine in site.engines.items():
         site.accept(name, action="load", model="base", version="2")
         engine.running = 1
     site.run(orderfakes.SETTLE_S)
     rows = [site.stored_row(engine.row) for engine in site.engines.values()]
-    assert sum(row.models == () for row in rows) == orderfakes.FETCHES
+    assert sum(row.models == () for row in rows) == orderfakes.MAX_FETCHES
     site.run(200.0)
     rows = [site.stored_row(engine.row) for engine in site.engines.values()]
     assert [row.models for row in rows] == [("base",)] * 3
     assert all(site.last(name).state == "done" for name in site.engines)
 
 
-def test_restarted_vm_settles_what_its_last_run_sent() -> None:
-    # A VM is restarted while its order is out, and meanwhile others are
-    # picked to order engines. It is listed all the time, so no other VM
-    # takes its order over, and without looking once it would stay open.
+def test_restarted_vm_resolves_orders_of_its_previous_run() -> None:
+    # A VM restarts while its order is in flight, and meanwhile other VMs are
+    # chosen to order engines. It stays listed, so no other VM takes its order
+    # over; if it did not list the records once, the order would stay open.
     site = orderfakes.Site(True, 1, 9)
     site.accept("e0", **orderscene.LOAD)
     names = ordervms.order_vms(site.vms[0].membership)
     outside = next(vm for vm in site.vms if vm.name not in names)
-    site.hand_over("e0", outside.name)
+    site.mark_sent_by("e0", outside.name)
     outside.restart()
-    kernel: Any = orderscene.OneVm(site, outside)
+    kernel: Any = orderscene.FakeKernel(site, outside)
     service = modelorders.ModelOrders(kernel, pathfakes.settings(), site.clock)
     service.attach(orderfakes.FakeCalls(site))
     assert service.watch_once(0.0)
     assert service.take_due() == ["e0"]
     service.step("e0")
     assert site.last("e0").state == "done"
-    # What is another's, it leaves alone until it is picked itself.
+    # It ignores the orders of other VMs until it is chosen itself.
     site.accept("e0", **orderscene.UNLOAD)
     service = modelorders.ModelOrders(kernel, pathfakes.settings(), site.clock)
     service.attach(orderfakes.FakeCalls(site))
@@ -95,7 +95,7 @@
 
 
 def test_calls_at_the_platform_of_one_order() -> None:
-    # The figure in docs/design/orders.md.
+    # docs/design/orders.md states these numbers of calls.
     site = orderfakes.Site(True, 1, 1)
     for asked, reads, writes in (
         (orderscene.LOAD, 9, 5),
@@ -110,10 +110,10 @@
 
 
 def test_rollout_steps_few_engines_at_once_the_longest_due_first() -> None:
-    # An operator loads a version on all engines. Each step reads at the
-    # platform, which 6,400 engines stepped at once would overload.
+    # An operator loads a version on all engines. Each step reads from the
+    # platform, which 6,400 concurrent steps would overload.
     site = orderfakes.Site(True, 40, 1)
-    kernel: Any = orderscene.OneVm(site)
+    kernel: Any = orderscene.FakeKernel(site)
     settings = pathfakes.settings(order_threads=6)
     service = modelorders.ModelOrders(kernel, settings, site.clock)
     service.attach()
@@ -122,17 +122,17 @@
     assert service.watch_once(0.0)
     first = service.take_due()
     assert len(first) == 4
-    # No more than there are threads.
+    # Only two of the six threads are left.
     assert len(service.take_due()) == 2
     assert service.take_due() == []
     assert len(service.dump()["open"]) == 40
 
 
 def test_drained_engine_comes_before_those_that_wait() -> None:
-    # In a rollout thousands of orders wait for weights, each of them due. An
-    # engine whose model is out of service must not wait behind all of them.
+    # In a rollout thousands of due orders wait for weights. An engine whose
+    # model is out of service must not wait behind all of them.
     site = orderfakes.Site(True, 9, 1)
-    kernel: Any = orderscene.OneVm(site)
+    kernel: Any = orderscene.FakeKernel(site)
     service = modelorders.ModelOrders(kernel, pathfakes.settings(), site.clock)
     service.attach(orderfakes.FakeCalls(site))
     site.accept("e8", **orderscene.UNLOAD)
@@ -149,10 +149,11 @@
 
 def test_order_that_comes_during_a_step_is_not_forgotten() -> None:
     # An order ends, and the next one is accepted just after the VM has read
-    # that nothing is open. The watch tells of it while the step still runs,
-    # and the order waited until somebody ordered that engine again.
+    # that none is open. The watch returns it while that step still runs. The
+    # end of the step unscheduled the engine, so the order waited until the
+    # next order to that engine.
     site = orderfakes.Site(True, 1, 1)
-    kernel: Any = orderscene.OneVm(site)
+    kernel: Any = orderscene.FakeKernel(site)
     service = modelorders.ModelOrders(kernel, pathfakes.settings(), site.clock)
     service.attach()
     site.accept("e0", **orderscene.LOAD)
--- a/tests/support/orderfakes.py
+++ b/tests/support/orderfakes.py
@@ -1,4 +1,4 @@
-"""Engines, VMs and a clock for tests of orders, moved by hand."""
+"""Fake engines, VMs and a manual clock for the tests of orders."""
 
 from collections.abc import Callable
 import json
@@ -26,20 +26,33 @@
 TIMEOUT_S = 10.0
 SETTLE_S = 12.0
 DEADLINE_S = 2000.0
-FETCHES = 1
+MAX_FETCHES = 1
 
-Fate = Literal["", "lost_before", "lost_after", "late", "busy", "refused"]
+SendOutcome = Literal[
+    "", "lost_before", "lost_after", "late", "busy", "refused"
+]
 
 
-class Landing(NamedTuple):
-    """An order that reaches the engine after its sender gave up."""
+class DelayedOrder(NamedTuple):
+    """An order in flight that reaches the engine later."""
 
     at_s: float
     order: modelrecords.Order
 
 
 class FakeEngine:
-    """What one engine holds, and the orders still on their way to it."""
+    """The state of an engine, and the orders in flight to it.
+
+    Attributes:
+        outcome: What happens to the next order that is sent; empty if it is
+            carried out and answered.
+        delay_s: The seconds after which an order with the outcome `late`
+            reaches the engine.
+        unlists_sender: Whether the sender of a late order leaves the list of
+            VMs until it gives up.
+        on_order: Called when an order is sent, before anything else.
+        delayed: The orders in flight.
+    """
 
     def __init__(self, site: "Site", name: str, checks_fencing: bool) -> None:
         self.site = site
@@ -57,55 +70,56 @@
         )
         self.is_up = True
         self.running = 0
-        self.fate: Fate = ""
-        self.late_s = 0.0
-        self.sender_goes = False
+        self.outcome: SendOutcome = ""
+        self.delay_s = 0.0
+        self.unlists_sender = False
         self.on_order: Callable[[], None] = lambda: None
-        self.inbox: list[Landing] = []
+        self.delayed: list[DelayedOrder] = []
         self.seen_fence = 0
         self.carried_out: list[modelrecords.Order] = []
 
-    def land(self) -> None:
-        """Carries out the late orders whose time has come."""
+    def deliver_due(self) -> None:
+        """Carries out the delayed orders that are due."""
         now_s = self.site.clock.now_s
-        due = sorted(item for item in self.inbox if item.at_s <= now_s)
-        self.inbox = [item for item in self.inbox if item.at_s > now_s]
+        due = sorted(item for item in self.delayed if item.at_s <= now_s)
+        self.delayed = [item for item in self.delayed if item.at_s > now_s]
         for item in due:
             if self.is_up:
                 self.carry_out(item.order)
 
     def carry_out(self, order: modelrecords.Order) -> bool:
+        """Carries out an order; false if its number is checked and too old."""
         if self.row.checks_fencing and order.fence < self.seen_fence:
             return False
         self.seen_fence = max(order.fence, self.seen_fence)
-        # An engine's state never goes back to an older order's.
+        # An engine's state never reverts to that of an older order.
         if self.carried_out:
             assert order.number >= self.carried_out[-1].number
         self.carried_out.append(order)
         if order.action == "unload":
             assert order.model not in self.site.stored_row(self.row).models
         if order.action == "load":
-            assert len(self.site.fetching(self)) <= FETCHES
-        self.state = modelrecords.applied(self.state, order)
+            assert len(self.site.fetching(self)) <= MAX_FETCHES
+        self.state = modelrecords.apply_order(self.state, order)
         return True
 
 
 class FakeCalls(enginecalls.EngineCalls):
-    """The engines' protocol without the HTTP."""
+    """The engines' protocol for orders without HTTP."""
 
     def __init__(self, site: "Site") -> None:
         self._site = site
 
-    def state(self, upstream: records.Upstream) -> Any:
+    def read_state(self, upstream: records.Upstream) -> Any:
         engine = self._site.engines[upstream.upstream]
         if not engine.is_up:
             return result.Err(enginecalls.EngineError("not_sent", "down"))
         return result.Ok(engine.state)
 
-    def running(self, upstream: records.Upstream) -> int | None:
+    def count_requests(self, upstream: records.Upstream) -> int | None:
         return self._site.engines[upstream.upstream].running
 
-    def order(
+    def send_order(
         self,
         upstream: records.Upstream,
         order: modelrecords.Order,
@@ -116,39 +130,40 @@
         if not engine.is_up:
             return result.Err(enginecalls.EngineError("not_sent", "down"))
         if not upstream.checks_fencing:
-            # No two orders to an engine without a check may overlap, and
-            # nothing else would stop one that was superseded.
-            assert engine.inbox == []
+            # Orders to an engine that does not check fencing numbers must
+            # not overlap, as the engine would execute a superseded one.
+            assert engine.delayed == []
             assert order.fence == self._site.record(upstream.upstream).fence
-        fate, engine.fate = engine.fate, ""
+        outcome, engine.outcome = engine.outcome, ""
         lost = result.Err(enginecalls.EngineError("unknown", "lost"))
-        if fate == "lost_before":
+        if outcome == "lost_before":
             return lost
-        if fate in ("busy", "refused"):
-            # An engine that checks numbers notes also what it refuses.
+        if outcome in ("busy", "refused"):
+            # An engine that checks fencing numbers also records the number
+            # of an order that it refuses.
             engine.seen_fence = max(order.fence, engine.seen_fence)
-        if fate == "busy":
+        if outcome == "busy":
             later = enginecalls.EngineError("later", "weights", 30.0)
             return result.Err(later)
-        if fate == "refused":
+        if outcome == "refused":
             return result.Err(enginecalls.EngineError("refused", "no such"))
-        if fate == "late":
-            at_s = self._site.clock.now_s + engine.late_s
-            engine.inbox.append(Landing(at_s, order))
+        if outcome == "late":
+            at_s = self._site.clock.now_s + engine.delay_s
+            engine.delayed.append(DelayedOrder(at_s, order))
             sender = self._site.record(upstream.upstream).vm
-            if engine.sender_goes:
+            if engine.unlists_sender:
                 self._site.unlist(sender)
-            # The sender waits, and is not stepped meanwhile.
+            # The sender is blocked in this call, so it is not stepped.
             self._site.run(timeout_s)
             self._site.listed.add(sender)
             return lost
         if not engine.carry_out(order):
             return result.Err(enginecalls.EngineError("fenced", "old"))
-        return lost if fate == "lost_after" else result.Ok(engine.state)
+        return lost if outcome == "lost_after" else result.Ok(engine.state)
 
 
 class FakeConfig:
-    """The rows as the platform's service holds them."""
+    """A configuration whose rows are always those that are stored."""
 
     def __init__(self, site: "Site") -> None:
         self._site = site
@@ -160,14 +175,14 @@
 
 
 class VmClock:
-    """The site's clock, which may stand still while its VM is frozen."""
+    """A VM's clock, which may stop while the VM is frozen."""
 
     def __init__(self, clock: clock_lib.FakeClock) -> None:
         self._clock = clock
-        self.lost_s = 0.0
+        self.stopped_s = 0.0
 
     def monotonic_s(self) -> float:
-        return self._clock.now_s - self.lost_s
+        return self._clock.now_s - self.stopped_s
 
     def wall_s(self) -> float:
         return self._clock.now_s
@@ -177,27 +192,28 @@
 
 
 class VmKeyValue:
-    """One VM's way to the shared store, at which it may be frozen."""
+    """A VM's client of the shared store, whose calls may freeze the VM."""
 
     def __init__(self, shared: batchfakes.FakeKeyValue) -> None:
         self._shared = shared
-        # Runs at one of the next moments before a call or after it.
+        # Called once, after `freeze_after` more moments; each call to the
+        # store has one moment before and one after it.
         self.freeze: Callable[[], None] | None = None
         self.freeze_after = 0
 
     def get(self, key: str) -> Any:
-        self._pass()
+        self._maybe_freeze()
         answer = self._shared.get(key)
-        self._pass()
+        self._maybe_freeze()
         return answer
 
     def list(self, prefix: str) -> Any:
         return self._shared.list(prefix)
 
     def put(self, key: str, value: bytes, expected_revision: int) -> Any:
-        self._pass()
+        self._maybe_freeze()
         answer = self._shared.put(key, value, expected_revision)
-        self._pass()
+        self._maybe_freeze()
         return answer
 
     def delete(self, key: str, expected_revision: int) -> Any:
@@ -209,7 +225,7 @@
             lambda held: tuple(e for e in held if e.revision > after)
         )
 
-    def _pass(self) -> None:
+    def _maybe_freeze(self) -> None:
         if self.freeze is None:
             return
         self.freeze_after -= 1
@@ -219,7 +235,7 @@
 
 
 class FakeMembership:
-    """The VMs that are listed, as one of them sees it."""
+    """The list of VMs as seen by one of them, which is always listed."""
 
     def __init__(self, site: "Site", vm: str) -> None:
         self._site = site
@@ -256,7 +272,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begins a new run, which remembers nothing."""
+        """Starts a new run of the process, with no memory of the last."""
         site = self._site
         self.membership.run += 1
         config: Any = FakeConfig(site)
@@ -272,7 +288,7 @@
         )
 
     def step(self, engine: str) -> float | None:
-        # A frozen VM does nothing; nor does one within its own step.
+        # A frozen VM does nothing, and a VM runs one step at a time.
         if self.is_frozen:
             return 1.0
         self.is_frozen = True
@@ -283,7 +299,7 @@
 
 
 class Site:
-    """Engines, VMs, the platform's service and one clock."""
+    """Simulates engines, VMs, the platform's store and a shared clock."""
 
     def __init__(self, checks_fencing: bool, engines: int, vms: int) -> None:
         self.clock = clock_lib.FakeClock()
@@ -293,7 +309,7 @@
             order_settle_s=SETTLE_S,
             order_drain_s=2 * SETTLE_S,
             order_deadline_s=DEADLINE_S,
-            weight_fetches=FETCHES,
+            weight_fetches=MAX_FETCHES,
         )
         names = [f"e{number}" for number in range(engines)]
         self.engines = {
@@ -313,24 +329,24 @@
         return rows[row.upstream]
 
     def advance(self, duration_s: float) -> None:
-        """Moves the clock; orders land at their time, in turn."""
+        """Advances the clock and delivers delayed orders at their times."""
         end_s = self.clock.now_s + duration_s
-        landings = [
+        delivery_times = [
             item.at_s
             for engine in self.engines.values()
-            for item in engine.inbox
+            for item in engine.delayed
             if item.at_s <= end_s
         ]
-        for at_s in (*sorted(landings), end_s):
+        for at_s in (*sorted(delivery_times), end_s):
             self.clock.now_s = max(at_s, self.clock.now_s)
             for engine in self.engines.values():
-                engine.land()
+                engine.deliver_due()
 
     def fetching(self, beginning: FakeEngine) -> set[str]:
-        """Returns the engines whose loads are under way now."""
+        """Returns the engines that load now, including `beginning`."""
         names = {beginning.row.upstream}
         for name, engine in self.engines.items():
-            for item in engine.inbox:
+            for item in engine.delayed:
                 is_old = item.order.fence < engine.seen_fence
                 if item.order.action == "load" and not is_old:
                     names.add(name)
@@ -349,19 +365,19 @@
         asked = modelrecords.Order(
             0, **fields, accepted_wall_s=self.clock.now_s
         )
-        changed = modelrecords.accept(record, asked)
+        changed = modelrecords.append_order(record, asked)
         put = self.keyvalue.put(
             modelrecords.key(engine),
             modelrecords.dump(changed),
             entry.revision if entry else 0,
         )
-        # One whose answer is lost took effect.
+        # A write whose answer is lost has taken effect.
         assert put.is_ok() or put.unwrap_err().kind == "unknown"
 
     def run(self, seconds: float) -> None:
-        """Steps all VMs until the time is over, as their threads would.
+        """Steps all VMs for a duration, as their threads would.
 
-        The time left may be spent by a step that waits for its engine.
+        A step that waits for its engine also advances the clock.
         """
         end_s = self.clock.now_s + seconds
         while True:
@@ -381,32 +397,32 @@
         return any(self.record(name).first_open for name in self.engines)
 
     def unlist(self, vm: str) -> None:
-        """Takes a VM off the list if it is not the last one."""
+        """Removes a VM from the list unless it is the only one."""
         if len(self.listed) > 1:
             self.listed.discard(vm)
 
     def last(self, engine: str) -> modelrecords.Order:
         return self.record(engine).orders[-1]
 
-    def picked_for(self, engine: str) -> OrderVm:
-        """Returns the VM that is to order an engine while all are listed."""
+    def assigned_vm(self, engine: str) -> OrderVm:
+        """Returns the VM that orders an engine while all VMs are listed."""
         names = ordervms.order_vms(self.vms[0].membership)
         name = rendezvous.pick(modelrecords.key(engine), names)
         return next(vm for vm in self.vms if vm.name == name)
 
-    def hand_over(self, engine: str, vm: str) -> None:
-        """Makes the first open order one that a VM has sent."""
+    def mark_sent_by(self, engine: str, vm: str) -> None:
+        """Marks the first open order as sent by a VM."""
         record = self.record(engine)
         assert record.first_open is not None
         sent = record.first_open._replace(state="sent")
-        changed = modelrecords.replace(record, sent)._replace(vm=vm)
+        changed = modelrecords.replace_order(record, sent)._replace(vm=vm)
         key = modelrecords.key(engine)
         revision = self.keyvalue.entries[key].revision
         put = self.keyvalue.put(key, modelrecords.dump(changed), revision)
         assert put.is_ok()
 
     def remove_row(self, engine: str) -> None:
-        """Removes an engine's row, as an operator does."""
+        """Removes an engine's row, as an operator would."""
         held = self.keyvalue.entries[pages.UPSTREAMS_KEY]
         page = pages.decode(held.value)
         rows = tuple(row for row in page.upstreams if row.upstream != engine)
--- a/tests/support/orderscene.py
+++ b/tests/support/orderscene.py
@@ -1,4 +1,4 @@
-"""What the tests of orders to engines share."""
+"""Helpers shared by the tests of orders to engines."""
 
 from typing import Any
 
@@ -13,12 +13,19 @@
 PROMPTLY_S = 3 * orderer.RETRY_S
 
 
-def numbers(engine: orderfakes.FakeEngine) -> list[int]:
+def fences(engine: orderfakes.FakeEngine) -> list[int]:
+    """Returns the fencing numbers of the orders carried out, in sequence."""
     return [order.fence for order in engine.carried_out]
 
 
 def freeze(vm: orderfakes.OrderVm, after: int) -> None:
-    """Freezes a VM at a call, until `thaw`."""
+    """Makes a VM raise `FrozenError` at a later moment.
+
+    Args:
+        vm: The VM to freeze.
+        after: The moments to skip; each call to the key-value store has one
+            before and one after it.
+    """
 
     def stop() -> None:
         raise FrozenError
@@ -28,11 +35,11 @@
 
 
 class FrozenError(Exception):
-    """Unwinds a step in the place of a VM that never comes back."""
+    """Aborts a step, in place of a VM that is frozen and never resumes."""
 
 
-class OneVm:
-    """A kernel in which a VM that takes orders finds its services."""
+class FakeKernel:
+    """A kernel that provides the services of one VM that orders engines."""
 
     def __init__(
         self, site: orderfakes.Site, vm: orderfakes.OrderVm | None = None
