--- a/packages/daemon/bulrushdeald/callers.py
+++ b/packages/daemon/bulrushdeald/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server: keys, routes, errors and the graceful stop."""
+"""The callers' HTTP server: authentication, routing and graceful shutdown."""
 
 from collections.abc import Iterator
 import threading
@@ -25,24 +25,26 @@
 HEALTH_PATH = "/healthz"
 _log = logs.Log("callers")
 
-# The share of the online threads that bulk requests may hold.
-_BULK_SHARE = 4
-_BULK_THREADS = 32
+# On the callers' address, bulk requests may hold one in four online threads.
+_BULK_THREAD_DIVISOR = 4
+# The threads of the listener on the bulk address.
+_BULK_LISTENER_THREADS = 32
 _BULK_RETRY_AFTER_S = 2.0
 _NOT_READY_RETRY_AFTER_S = 1.0
-# What the library needs to end its threads once no request is open.
-_CLOSE_S = 2.0
+# How long ended requests may take to close, and how long the HTTP library
+# needs to end its threads once no request is open.
+_CLOSE_TIMEOUT_S = 2.0
 
 
 class _Route(NamedTuple):
-    """One path and who serves it.
+    """A route that another service added.
 
     Attributes:
-        method: In capitals, or `*`.
-        path: Exact, or a prefix if it ends in `/`.
-        handler: Another service's; `None` for the built-in paths.
-        serve: A built-in path's.
-        is_bulk: Whether it may be slow.
+        method: The HTTP method in capitals, or `*` for any.
+        path: An exact path, or a prefix if it ends in `/`.
+        handler: Serves the requests that match.
+        is_bulk: Whether requests may transfer much data and hold a thread for
+            long.
     """
 
     method: str
@@ -52,7 +54,7 @@
 
 
 class State(NamedTuple):
-    """What the dump shows."""
+    """The server's part of the state dump."""
 
     state: Literal["waiting", "serving", "stopping"]
     open_calls: tuple[calls.State, ...]
@@ -62,8 +64,8 @@
 class CallersServer:
     """See `services.CallerRoutes`.
 
-    It is registered before the services that add routes, and listens only
-    when `listen` is called: a request before then would find no route.
+    The server is registered before the services that add routes, and it
+    listens only from `listen` on: an earlier request would find no route.
     """
 
     def __init__(
@@ -71,17 +73,17 @@
     ) -> None:
         self._kernel = kernel
         self._settings = settings
-        self._open = calls.OpenCalls()
+        self._open_calls = calls.OpenCalls()
         self._departures = departures.Departures()
         self._routes: list[_Route] = []
         self._servers: list[httpd.Server] = []
         self._state: Literal["waiting", "serving", "stopping"] = "waiting"
-        threads = settings.online_threads // _BULK_SHARE
+        threads = settings.online_threads // _BULK_THREAD_DIVISOR
         self._bulk_slots = threading.BoundedSemaphore(max(threads, 1))
 
     @property
     def port(self) -> int:
-        """The callers' port, known after `listen`."""
+        """The port of the callers' address, known after `listen`."""
         return self._servers[0].port
 
     def start(self) -> None:
@@ -90,22 +92,24 @@
         self._config = kernel.find(services.CONFIG, services.Config)
         self._limits = kernel.find(services.LIMITS, services.Limits)
         self._dispatcher = dispatch.Dispatcher(kernel, settings)
-        self._models = modelcalls.ModelCalls(kernel, settings, self._dispatcher)
-        self._plain = plainservices.PlainServices(
+        self._model_calls = modelcalls.ModelCalls(
+            kernel, settings, self._dispatcher
+        )
+        self._plain_services = plainservices.PlainServices(
             kernel, settings, self._dispatcher
         )
         self._config.on_change(self._end_withdrawn)
         self._departures.start()
 
     def listen(self) -> None:
-        """Begins to serve, once every service has added its routes."""
+        """Starts the listeners, after every service has added its routes."""
         settings = self._settings
         addresses = [(settings.callers_address, settings.online_threads)]
         if settings.bulk_address:
-            addresses.append((settings.bulk_address, _BULK_THREADS))
+            addresses.append((settings.bulk_address, _BULK_LISTENER_THREADS))
         for address, threads in addresses:
             server = httpd.Server(
-                address, self._serve, threads, refusals.response(_BUSY)
+                address, self._serve, threads, refusals.response(_VM_BUSY)
             )
             server.start()
             self._servers.append(server)
@@ -113,22 +117,30 @@
         _log.info("Listening on port %d.", self.port)
 
     def drain(self, grace_s: float) -> None:
-        """Stops without cutting a request short, within `grace_s` seconds.
+        """Stops the server and lets open requests finish.
 
-        First the balancer is told, and the callers by `Connection: close`,
-        while all are still served; then open requests are waited for.
+        For `unready_s` seconds the server still accepts requests, while its
+        health check fails and each response carries `Connection: close`, so
+        that the load balancer and the callers go elsewhere. Then it waits for
+        the open requests.
+
+        Args:
+            grace_s: How long requests may take to finish, in seconds; those
+                still open after it are ended.
         """
         if self._state != "serving":
             return
         end_s = time.monotonic() + grace_s
         self._state = "stopping"
         time.sleep(min(self._settings.unready_s, grace_s))
-        if not self._open.wait_until_none(end_s - time.monotonic()):
-            count = self._open.end_where(lambda call: True, "stopping")
-            _log.warning("The grace is over; ended %d requests.", count)
-            self._open.wait_until_none(_CLOSE_S)
-        # A request that came in just now has the rest of the grace.
-        left_s = max(end_s - time.monotonic(), _CLOSE_S)
+        if not self._open_calls.wait_until_none(end_s - time.monotonic()):
+            count = self._open_calls.end_where(lambda call: True, "stopping")
+            _log.warning(
+                "The grace period expired; ended %d open requests.", count
+            )
+            self._open_calls.wait_until_none(_CLOSE_TIMEOUT_S)
+        # Requests that arrived meanwhile get the rest of the grace period.
+        left_s = max(end_s - time.monotonic(), _CLOSE_TIMEOUT_S)
         for server in self._servers:
             server.stop(left_s)
 
@@ -141,7 +153,7 @@
         """See `kernel.Service`."""
         return State(
             self._state,
-            tuple(call.state() for call in self._open.all()),
+            tuple(call.state() for call in self._open_calls.all()),
             self._dispatcher.budget.state(),
         )
 
@@ -159,8 +171,8 @@
         response = self._respond(request)
         if self._state == "serving":
             return response
-        # A caller that keeps its connection would send its next request
-        # into the stop.
+        # On a connection kept alive, the caller's next request would reach a
+        # server that no longer accepts requests.
         headers = (*response.headers, ("Connection", "close"))
         return response._replace(headers=headers)
 
@@ -171,21 +183,22 @@
         if isinstance(authenticated, result.Err):
             return refusals.response(authenticated.err_value)
         principal = authenticated.ok_value
-        call = self._open.open(principal, request.path)
-        # A key withdrawn between the check and the line above.
+        call = self._open_calls.add(principal, request.path)
+        # The key may have been withdrawn after the check and before the call
+        # was added, when `_end_withdrawn` could not find the call.
         if self._config.is_withdrawn(call.key_hash):
             call.end("key_withdrawn")
-        forget = self._watch(request, call)
+        stop_watching = self._watch(request, call)
 
         def close() -> None:
-            forget()
-            self._open.close(call)
+            stop_watching()
+            self._open_calls.remove(call)
 
         try:
-            response = self._dispatch(request, principal, call)
-        except Exception:  # noqa: BLE001 - the caller gets an answer.
+            response = self._handle(request, principal, call)
+        except Exception:  # noqa: BLE001 - the caller gets a response.
             _log.exception("Request %d failed.", call.number)
-            response = refusals.response(_INTERNAL)
+            response = refusals.response(_INTERNAL_ERROR)
         return response._replace(body=calls.Body(response.body, close))
 
     def _health(self) -> httpd.Response:
@@ -225,26 +238,26 @@
             request.connection, lambda: call.end("caller_left")
         )
 
-    def _dispatch(
+    def _handle(
         self,
         request: httpd.Request,
         principal: services.Principal,
         call: calls.Call,
     ) -> httpd.Response:
         if request.path in completions.PATHS and request.method == "POST":
-            return self._models.complete(request, call)
+            return self._model_calls.complete(request, call)
         if request.path == modelcalls.MODELS_PATH and request.method == "GET":
-            return self._models.models(request, call)
+            return self._model_calls.models(request, call)
         if request.path.startswith(plainservices.PREFIX):
-            return self._plain.serve(request, call)
+            return self._plain_services.serve(request, call)
         for route in self._routes:
             if _matches(route, request):
-                return self._serve_route(route, request, principal, call)
+                return self._serve_added_route(route, request, principal, call)
         return refusals.response(
             refusals.not_found(f"There is no {request.method} {request.path}.")
         )
 
-    def _serve_route(
+    def _serve_added_route(
         self,
         route: _Route,
         request: httpd.Request,
@@ -252,9 +265,10 @@
         call: calls.Call,
     ) -> httpd.Response:
         if not route.is_bulk:
-            return _ended_by(call, route.handler(request, principal))
-        # A slow upload holds a thread; without a bound a few of them would
-        # hold all, and online callers would wait unseen.
+            return _abort_on_end(call, route.handler(request, principal))
+        # A slow transfer holds a thread. Without a bound, slow transfers could
+        # hold all threads, and online requests would wait for one before this
+        # server sees them.
         if not self._bulk_slots.acquire(blocking=False):
             return refusals.response(_BULK_FULL)
         try:
@@ -263,17 +277,17 @@
             self._bulk_slots.release()
             raise
         body = calls.Body(response.body, self._bulk_slots.release)
-        return _ended_by(call, response._replace(body=body))
+        return _abort_on_end(call, response._replace(body=body))
 
     def _end_withdrawn(self) -> None:
-        self._open.end_where(
+        self._open_calls.end_where(
             lambda call: self._config.is_withdrawn(call.key_hash),
             "key_withdrawn",
         )
 
 
 class Listener:
-    """Opens the callers' server last and closes it first."""
+    """Starts listening after all other services and drains before they stop."""
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: defaults.Settings
@@ -297,22 +311,22 @@
         return self._kernel.find(services.CALLERS, CallersServer)
 
 
-_INTERNAL = services.Refusal(
+_INTERNAL_ERROR = services.Refusal(
     500, "internal_error", "This VM failed to serve the request.", "unknown"
 )
-_BUSY = services.Refusal(
-    503, "vm_busy", "This VM has no room now.", retry_after_s=1.0
+_VM_BUSY = services.Refusal(
+    503, "vm_busy", "This VM cannot take more requests now.", retry_after_s=1.0
 )
 _BULK_FULL = services.Refusal(
     503,
     "bulk_full",
-    "Too many files and batches are in transfer on this VM.",
+    "Too many file and batch transfers are in progress on this VM.",
     retry_after_s=_BULK_RETRY_AFTER_S,
 )
 
 
-def _ended_by(call: calls.Call, response: httpd.Response) -> httpd.Response:
-    """Returns an answer that breaks off when its request is ended."""
+def _abort_on_end(call: calls.Call, response: httpd.Response) -> httpd.Response:
+    """Returns a response whose body breaks off when the call is ended."""
 
     def chunks() -> Iterator[bytes]:
         for chunk in response.body:
--- a/packages/daemon/bulrushdeald/calls.py
+++ b/packages/daemon/bulrushdeald/calls.py
@@ -1,4 +1,4 @@
-"""The requests that are open on this VM, and how they are ended."""
+"""The requests open on this VM, and how to end them early."""
 
 from collections.abc import Callable, Iterable, Iterator
 import errno
@@ -13,33 +13,39 @@
 EndReason = Literal["", "caller_left", "key_withdrawn", "stopping", "yielded"]
 
 REFUSALS: dict[EndReason, services.Refusal] = {
-    "caller_left": services.Refusal(499, "caller_left", "The caller left."),
+    "caller_left": services.Refusal(
+        499, "caller_left", "The caller closed the connection."
+    ),
     "key_withdrawn": services.Refusal(
         401, "key_withdrawn", "The key was withdrawn."
     ),
     "stopping": services.Refusal(
-        503, "stopping", "This VM stops.", "not_run", 1
+        503, "stopping", "This VM is stopping.", "not_run", 1
     ),
     "yielded": services.Refusal(
-        503, "yielded", "The upstream was needed elsewhere.", "not_run", 1
+        503,
+        "yielded",
+        "The upstream was needed for other requests.",
+        "not_run",
+        1,
     ),
 }
 
-
-_RAN: tuple[services.Ran, ...] = ("not_run", "unknown", "ran")
+# By increasing certainty that the request ran.
+_RAN_CERTAINTY: tuple[services.Ran, ...] = ("not_run", "unknown", "ran")
 
 
 class BrokenAnswerError(ConnectionResetError):
-    """Ends a connection whose answer cannot be made whole."""
+    """Breaks a connection whose response cannot be completed."""
 
     def __init__(self, message: str) -> None:
-        # The server's library keeps quiet for this number, closes the
-        # connection, and does not write the end of a chunked body.
+        # On this errno the HTTP library closes the connection, logs nothing
+        # and omits the last chunk of a chunked body.
         super().__init__(errno.ECONNRESET, message)
 
 
 class State(NamedTuple):
-    """An open request, for the dump; neither key nor prompt."""
+    """An open request in the state dump, without its key and its prompt."""
 
     number: int
     customer: str
@@ -50,15 +56,17 @@
 
 
 class Call:
-    """One open request; any thread may end it, and the first reason stays.
+    """One open request.
+
+    Any thread may end it; the first reason is kept.
 
     Attributes:
-        number: Names it in the log and the dump.
-        customer: Whom it runs for.
-        key_hash: The key it came with.
-        upstream: Where it was sent last; empty if it was not.
-        tries: How often it was placed at an upstream.
-        ran: Whether any of the tries ran.
+        number: Identifies the request in the log and the state dump.
+        customer: The customer that the request belongs to.
+        key_hash: The hash of the key that the request was sent with.
+        upstream: The upstream of the last attempt; empty before the first.
+        tries: The number of attempts, each at one upstream.
+        ran: Whether any attempt ran at its upstream.
     """
 
     def __init__(
@@ -71,55 +79,55 @@
         self.tries = 0
         self.ran: services.Ran = "not_run"
         self._path = path
-        self._since_s = time.monotonic()
+        self._opened_s = time.monotonic()
         self._lock = threading.Lock()
         self._reason: EndReason = ""
-        self._cancel: Callable[[], None] | None = None
-        self._outlives_caller = False
+        self._cancel_attempt: Callable[[], None] | None = None
+        self._ignores_disconnect = False
 
     @property
     def reason(self) -> EndReason:
-        """Why the request was ended; empty while it was not."""
+        """Why the request was ended; empty if it was not."""
         return self._reason
 
     def end(self, reason: EndReason) -> None:
-        """Ends the request and what it waits for at an upstream."""
+        """Ends the request and cancels its attempt at an upstream."""
         with self._lock:
-            is_kept = reason == "caller_left" and self._outlives_caller
-            if self._reason or is_kept:
+            is_ignored = reason == "caller_left" and self._ignores_disconnect
+            if self._reason or is_ignored:
                 return
             self._reason = reason
-            cancel = self._cancel
+            cancel = self._cancel_attempt
         if cancel is not None:
             cancel()
 
     def note_ran(self, ran: services.Ran) -> None:
-        """Notes whether a try ran; what is known of those before stays."""
-        self.ran = max(self.ran, ran, key=_RAN.index)
+        """Records whether an attempt ran; a more certain value is kept."""
+        self.ran = max(self.ran, ran, key=_RAN_CERTAINTY.index)
 
-    def outlive_caller(self) -> None:
-        """Lets the request run to its end even if the caller leaves."""
+    def ignore_disconnect(self) -> None:
+        """Lets the request run to its end even if the caller disconnects."""
         with self._lock:
-            self._outlives_caller = True
+            self._ignores_disconnect = True
 
     def on_end(self, cancel: Callable[[], None]) -> None:
-        """Calls `cancel` when the request is ended, at once if it was.
+        """Calls `cancel` when the request is ended, at once if it already is.
 
-        It replaces the one given before, whose try is over.
+        The new callback replaces that of the previous attempt, which is over.
         """
         with self._lock:
-            self._cancel = cancel
+            self._cancel_attempt = cancel
             is_ended = bool(self._reason)
         if is_ended:
             cancel()
 
     def state(self) -> State:
-        """Returns what the dump shows."""
+        """Returns the request's entry in the state dump."""
         return State(
             self.number,
             self.customer,
             self._path,
-            round(time.monotonic() - self._since_s, 3),
+            round(time.monotonic() - self._opened_s, 3),
             self.upstream,
             self._reason,
         )
@@ -133,14 +141,14 @@
         self._numbers = itertools.count(1)
         self._calls: dict[int, Call] = {}
 
-    def open(self, principal: services.Principal, path: str) -> Call:
+    def add(self, principal: services.Principal, path: str) -> Call:
         """Adds a request."""
         with self._condition:
             call = Call(next(self._numbers), principal, path)
             self._calls[call.number] = call
         return call
 
-    def close(self, call: Call) -> None:
+    def remove(self, call: Call) -> None:
         """Removes a request; idempotent."""
         with self._condition:
             self._calls.pop(call.number, None)
@@ -152,16 +160,16 @@
             return tuple(self._calls.values())
 
     def end_where(
-        self, is_chosen: Callable[[Call], bool], reason: EndReason
+        self, matches: Callable[[Call], bool], reason: EndReason
     ) -> int:
-        """Ends the chosen requests and returns their number."""
-        chosen = [call for call in self.all() if is_chosen(call)]
-        for call in chosen:
+        """Ends the requests that match and returns their number."""
+        matching = [call for call in self.all() if matches(call)]
+        for call in matching:
             call.end(reason)
-        return len(chosen)
+        return len(matching)
 
     def wait_until_none(self, timeout_s: float) -> bool:
-        """Waits for all requests; tells whether none is left."""
+        """Waits until no request is open; returns whether that happened."""
         with self._condition:
             return self._condition.wait_for(
                 lambda: not self._calls, max(timeout_s, 0)
@@ -169,10 +177,10 @@
 
 
 class Body:
-    """An answer's body that does something once when it is over.
+    """A response body that runs a callback once when it is closed.
 
-    A generator's own `finally` does not run if nobody ever asked it for its
-    first piece, and then a slot would be held for ever.
+    The `finally` of a generator does not run if iteration never started; a
+    slot released there would be held forever.
     """
 
     def __init__(
@@ -185,7 +193,7 @@
         return iter(self._chunks)
 
     def close(self) -> None:
-        """Called by the server when the answer was sent or given up."""
+        """Runs the callback; called once the response was sent or abandoned."""
         on_close, self._on_close = self._on_close, None
         if on_close is None:
             return
--- a/packages/daemon/bulrushdeald/completions.py
+++ b/packages/daemon/bulrushdeald/completions.py
@@ -1,4 +1,4 @@
-"""Reads the calls that a model engine serves, online or from a batch."""
+"""Parses and checks calls to a model engine, online or from a batch."""
 
 import hashlib
 import json
@@ -13,24 +13,25 @@
 CHAT_PATH = "/v1/chat/completions"
 TEXT_PATH = "/v1/completions"
 PATHS = (CHAT_PATH, TEXT_PATH)
-# Engines cache whole blocks of a prompt; the beginning tells most.
+# Engines cache prompts by whole blocks from the beginning, so the beginning
+# shows best which cached blocks a prompt can use.
 PREFIX_BYTES = 512
-# A usual English text has about four bytes for each token.
+# English text has about four bytes per token.
 _BYTES_PER_TOKEN = 4
 _DEFAULT_MAX_TOKENS = 256
 
 
 class Call(NamedTuple):
-    """A checked call of a model.
+    """A checked call to a model.
 
     Attributes:
         path: One of `PATHS`.
-        body: The JSON as the caller sent it, to be passed on unchanged.
-        model: The model asked for.
+        body: The JSON as the caller sent it.
+        model: The requested model.
         is_stream: Whether the caller wants server-sent events.
-        prompt_prefix: The beginning of the prompt.
-        expected_tokens: A guess of prompt and answer together.
-        asks_usage: Whether the caller wants its stream to tell the usage.
+        prompt_prefix: The first `PREFIX_BYTES` bytes of the prompt.
+        expected_tokens: An estimate of prompt and completion tokens together.
+        asks_usage: Whether the caller wants its stream to report the usage.
     """
 
     path: str
@@ -42,33 +43,42 @@
     asks_usage: bool = False
 
 
-def read(path: str, body: bytes) -> result.Result[Call, services.Refusal]:
-    """Checks what this system needs to know; the engine checks the rest."""
+def parse(path: str, body: bytes) -> result.Result[Call, services.Refusal]:
+    """Parses a body and checks what this system uses of it.
+
+    The engine checks the rest.
+
+    Args:
+        path: One of `PATHS`.
+        body: The body as the caller sent it.
+    """
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
         return result.Err(refusals.bad_input(f"The body is not JSON: {error}"))
     if not isinstance(value, dict):
-        return result.Err(refusals.bad_input("The body is not an object."))
+        return result.Err(refusals.bad_input("The body is not a JSON object."))
     return check(path, value, body)
 
 
 def check(
     path: str, value: dict[str, Any], body: bytes
 ) -> result.Result[Call, services.Refusal]:
-    """Checks a call whose body was parsed before.
+    """Checks a call whose body is already parsed.
 
     Args:
         path: One of `PATHS`.
-        value: The body's value.
-        body: The body.
+        value: The parsed body.
+        body: The body as the caller sent it.
     """
     model = value.get("model")
     if not isinstance(model, str) or not model:
         return result.Err(refusals.bad_input("A model is required.", "model"))
     stream = value.get("stream", False)
     if not isinstance(stream, bool):
-        return result.Err(refusals.bad_input("Not a boolean.", "stream"))
+        return result.Err(
+            refusals.bad_input("stream must be a boolean.", "stream")
+        )
     field = "messages" if path == CHAT_PATH else "prompt"
     prompt = value.get(field)
     if not prompt or not isinstance(prompt, list | str):
@@ -76,7 +86,9 @@
     max_tokens = value.get("max_tokens", _DEFAULT_MAX_TOKENS)
     if type(max_tokens) is not int or max_tokens < 1:
         return result.Err(
-            refusals.bad_input("Not a positive integer.", "max_tokens")
+            refusals.bad_input(
+                "max_tokens must be a positive integer.", "max_tokens"
+            )
         )
     text = _prompt_bytes(prompt)
     return result.Ok(
@@ -97,11 +109,11 @@
     return options if isinstance(options, dict) else {}
 
 
-def with_usage(call: Call) -> bytes:
-    """Returns the body that makes a stream tell its usage at the end.
+def body_with_usage(call: Call) -> bytes:
+    """Returns the call's body with the usage of its stream requested.
 
-    Without it an engine does not say how many tokens a stream's prompt had,
-    and the reports would show none.
+    By default an engine does not report the number of prompt tokens of a
+    stream, and the usage reports would count none.
     """
     value = json.loads(call.body)
     options = {**_stream_options(value), "include_usage": True}
@@ -120,7 +132,7 @@
     work_class: records.WorkClass,
     deadline_s: float,
 ) -> services.Work:
-    """Returns what the router needs to know of a call."""
+    """Returns the description of a call by which the router places it."""
     return services.Work(
         customer,
         work_class,
@@ -134,7 +146,7 @@
 
 
 def fingerprint(customer: str, path: str, body: bytes) -> str:
-    """Returns the name that a request keeps however often it is sent."""
+    """Returns a hash that stays the same when the request is sent again."""
     digest = hashlib.sha256()
     for part in (customer.encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/packages/daemon/bulrushdeald/idempotency.py
+++ b/packages/daemon/bulrushdeald/idempotency.py
@@ -107,7 +107,7 @@
         return result.Err(_replay(found.ok_value))
     # A caller that gave up waiting sends again with the same key, and then
     # wants the answer: so its leaving does not end the request.
-    call.outlive_caller()
+    call.ignore_disconnect()
     return result.Ok(Guard(owner, name, fingerprint))
 
 
--- a/packages/daemon/bulrushdeald/modelcalls.py
+++ b/packages/daemon/bulrushdeald/modelcalls.py
@@ -1,4 +1,4 @@
-"""Serves the calls of models: whole answers and streams of events."""
+"""Serves calls to models, answered whole or as an event stream."""
 
 from collections.abc import Iterator
 import json
@@ -24,7 +24,8 @@
 
 MODELS_PATH = "/v1/models"
 _OK = 200
-# A stream's last event with a choice tells its end, and `[DONE]` follows.
+# The last two events of a stream carry no token: the one with the finish
+# reason, and `[DONE]`.
 _EVENTS_WITHOUT_TOKEN = 2
 _MAX_ANSWER_BYTES = 64_000_000
 
@@ -49,7 +50,7 @@
     def models(
         self, request: httpd.Request, call: calls.Call
     ) -> httpd.Response:
-        """Lists the models that some upstream serves."""
+        """Lists the models that at least one upstream serves."""
         del request, call
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": ""}
@@ -60,27 +61,27 @@
     def complete(
         self, request: httpd.Request, call: calls.Call
     ) -> httpd.Response:
-        """Answers one call of a model."""
-        checked = self._check(request)
+        """Serves one call to a model."""
+        checked = self._read_call(request)
         if isinstance(checked, result.Err):
             return refusals.response(checked.err_value)
         model_call = checked.ok_value
         taken = self._limits.take(call.customer)
         if isinstance(taken, result.Err):
-            self._record(model_call, call, taken.err_value.code)
+            self._record_usage(model_call, call, taken.err_value.code)
             return refusals.response(taken.err_value)
-        guarded = idempotency.look_up(
+        looked_up = idempotency.look_up(
             self._intents, request, call, _fingerprint(model_call, call)
         )
-        if isinstance(guarded, result.Err):
-            return guarded.err_value
-        answered = self._answer(request, model_call, call, guarded.ok_value)
+        if isinstance(looked_up, result.Err):
+            return looked_up.err_value
+        answered = self._answer(request, model_call, call, looked_up.ok_value)
         if isinstance(answered, result.Err):
-            self._record(model_call, call, answered.err_value.code)
+            self._record_usage(model_call, call, answered.err_value.code)
             return refusals.response(answered.err_value)
         return answered.ok_value
 
-    def _check(
+    def _read_call(
         self, request: httpd.Request
     ) -> result.Result[completions.Call, services.Refusal]:
         body = bodies.read_whole(request, self._max_body_bytes)
@@ -89,9 +90,9 @@
         key = headers_lib.bearer(request.headers)
         if key.encode() in body.ok_value:
             return result.Err(
-                refusals.bad_input("The body holds the key.", "body")
+                refusals.bad_input("The body contains the API key.", "body")
             )
-        checked = completions.read(request.path, body.ok_value)
+        checked = completions.parse(request.path, body.ok_value)
         if isinstance(checked, result.Err):
             return checked
         if checked.ok_value.model not in self._config.models():
@@ -116,39 +117,42 @@
             model_call, call.customer, "online", self._deadline_s
         )
         key = headers_lib.bearer(request.headers)
-        # An answer that is kept for an idempotency key is kept as it came.
-        hides = model_call.is_stream and not (
+        # An answer for an idempotency key is stored as received, so a usage
+        # event that the caller did not ask for would show when it is replayed.
+        hides_usage = model_call.is_stream and not (
             model_call.asks_usage or guard.is_keyed
         )
         sending = dispatch.Sending(
             "POST",
             model_call.path,
             headers_lib.for_upstream(request.headers, key),
-            completions.with_usage(model_call) if hides else model_call.body,
-            # Its caller asked for one run at most.
+            completions.body_with_usage(model_call)
+            if hides_usage
+            else model_call.body,
+            # A request with an idempotency key may run at most once.
             is_idempotent=not guard.is_keyed,
         )
         while True:
             started = self._dispatcher.run(work, sending, call, guard)
             if isinstance(started, result.Err):
                 return result.Err(started.err_value.refusal)
-            tokens = _Tokens()
+            tokens = _TokenCounter()
             relay = self._relay(
                 started.ok_value, model_call, call, guard, tokens
             )
-            if self._is_tried_elsewhere(relay, call, guard):
+            if self._may_retry_refusal(relay, call, guard):
                 relay.refuse()
                 continue
-            answering = _Answering(relay, tokens, hides)
-            answered = answering.answer(model_call.is_stream)
+            builder = _ResponseBuilder(relay, tokens, hides_usage)
+            answered = builder.build(model_call.is_stream)
             if isinstance(answered, result.Ok):
                 return answered
             failure = answered.err_value
-            # No byte of this answer went to the caller yet.
+            # The caller has received no byte of this answer yet.
             if not self._dispatcher.may_retry(failure, sending, call):
                 return result.Err(failure.refusal)
 
-    def _is_tried_elsewhere(
+    def _may_retry_refusal(
         self, relay: relays.Relay, call: calls.Call, guard: idempotency.Guard
     ) -> bool:
         if not relay.is_refusal or guard.is_keyed:
@@ -161,18 +165,18 @@
         model_call: completions.Call,
         call: calls.Call,
         guard: idempotency.Guard,
-        tokens: "_Tokens",
+        tokens: "_TokenCounter",
     ) -> relays.Relay:
         return relays.Relay(
             started,
             call,
             guard,
-            lambda relay: self._record(
+            lambda relay: self._record_usage(
                 model_call, call, relay.code, *tokens.counts()
             ),
         )
 
-    def _record(
+    def _record_usage(
         self,
         model_call: completions.Call,
         call: calls.Call,
@@ -194,26 +198,26 @@
         )
 
 
-class _Answering:
-    """Answers one call from one upstream's answer."""
+class _ResponseBuilder:
+    """Builds the response to a call from one upstream's answer."""
 
     def __init__(
-        self, relay: relays.Relay, tokens: "_Tokens", hides_usage: bool
+        self, relay: relays.Relay, tokens: "_TokenCounter", hides_usage: bool
     ) -> None:
         self._relay = relay
         self._tokens = tokens
         self._hides_usage = hides_usage
 
-    def answer(
+    def build(
         self, is_stream: bool
     ) -> result.Result[httpd.Response, dispatch.Failure]:
-        """Returns a stream, or a whole answer."""
+        """Returns a whole response, or a stream of a successful answer."""
         if is_stream and self._relay.answer.status == _OK:
-            return self._stream()
-        return self._whole()
+            return self._build_stream()
+        return self._build_whole()
 
-    def _whole(self) -> result.Result[httpd.Response, dispatch.Failure]:
-        """Returns a whole answer once all of it is there."""
+    def _build_whole(self) -> result.Result[httpd.Response, dispatch.Failure]:
+        """Returns a whole response once the whole answer was received."""
         parts: list[bytes] = []
         size_bytes = 0
         for item in self._relay.items:
@@ -221,17 +225,17 @@
                 return result.Err(self._relay.failure(item.err_value))
             size_bytes += len(item.ok_value)
             if size_bytes > _MAX_ANSWER_BYTES:
-                return result.Err(self._relay.failure(_TOO_LONG))
+                return result.Err(self._relay.failure(_ANSWER_TOO_LONG))
             parts.append(item.ok_value)
         body = b"".join(parts)
         self._tokens.usage_event = body
         answer = self._relay.answer
         self._relay.close()
-        headers = _with_length(answer.headers, len(body))
+        headers = _with_content_length(answer.headers, len(body))
         return result.Ok(httpd.Response(answer.status, headers, (body,)))
 
-    def _stream(self) -> result.Result[httpd.Response, dispatch.Failure]:
-        """Returns a stream once its first event is there."""
+    def _build_stream(self) -> result.Result[httpd.Response, dispatch.Failure]:
+        """Returns a streamed response once its first event was received."""
         events = streams.whole_events(self._relay.items)
         first = next(events)
         if isinstance(first, result.Err):
@@ -247,50 +251,53 @@
         first: bytes,
         events: Iterator[result.Result[bytes, services.UpstreamError]],
     ) -> Iterator[bytes]:
-        if shown := self._shown(first):
+        if shown := self._events_for_caller(first):
             yield shown
-        self._note_end(first)
+        self._complete_if_last(first)
         for item in events:
             if isinstance(item, result.Err):
                 yield streams.error_event(self._relay.fail(item.err_value))
                 return
-            if shown := self._shown(item.ok_value):
+            if shown := self._events_for_caller(item.ok_value):
                 yield shown
-            self._note_end(item.ok_value)
+            self._complete_if_last(item.ok_value)
 
-    def _note_end(self, data: bytes) -> None:
-        # Only once it was written: then the caller has all of the stream.
+    def _complete_if_last(self, data: bytes) -> None:
+        # Called after the last event was yielded to the server, so the caller
+        # has the whole stream.
         if streams.is_last(data):
             self._relay.complete()
 
-    def _shown(self, data: bytes) -> bytes:
-        """Counts a run of events; returns those that the caller asked for."""
+    def _events_for_caller(self, data: bytes) -> bytes:
+        """Counts the events and returns those that the caller asked for."""
         self._tokens.note(data)
         return streams.without_usage(data) if self._hides_usage else data
 
 
-class _Tokens:
-    """Counts the tokens of an answer, by what the engine tells at best."""
+class _TokenCounter:
+    """Counts tokens by the usage that the engine reports, or else by events."""
 
     def __init__(self) -> None:
         self._events = 0
         self.usage_event = b""
 
     def note(self, data: bytes) -> None:
-        """Counts the events in a piece of a stream."""
+        """Counts the events in a chunk of a stream."""
         self._events += data.count(b"data:")
         if b'"usage"' in data:
             self.usage_event = data
 
     def counts(self) -> tuple[int, int]:
-        """Returns the tokens of prompt and answer."""
-        usage = _usage(self.usage_event)
-        guess = max(self._events - _EVENTS_WITHOUT_TOKEN, 0)
-        completion = int(usage.get("completion_tokens") or guess)
+        """Returns the number of prompt tokens and of completion tokens."""
+        usage = _reported_usage(self.usage_event)
+        estimate = max(self._events - _EVENTS_WITHOUT_TOKEN, 0)
+        completion = int(usage.get("completion_tokens") or estimate)
         return int(usage.get("prompt_tokens") or 0), completion
 
 
-_TOO_LONG = services.UpstreamError("crashed", "ran", "The answer is too long.")
+_ANSWER_TOO_LONG = services.UpstreamError(
+    "crashed", "ran", "The answer is too long."
+)
 
 
 def _fingerprint(model_call: completions.Call, call: calls.Call) -> str:
@@ -299,8 +306,8 @@
     )
 
 
-def _usage(data: bytes) -> dict[str, Any]:
-    """Returns the usage that an engine told, empty if it did not."""
+def _reported_usage(data: bytes) -> dict[str, Any]:
+    """Returns the usage that an engine reported, empty if it did not."""
     for line in data.splitlines():
         text = line.removeprefix(b"data:").strip()
         if b'"usage"' not in text:
@@ -313,7 +320,7 @@
     return {}
 
 
-def _with_length(
+def _with_content_length(
     headers: tuple[tuple[str, str], ...], size_bytes: int
 ) -> tuple[tuple[str, str], ...]:
     kept = tuple(
--- a/packages/daemon/bulrushdeald/plainservices.py
+++ b/packages/daemon/bulrushdeald/plainservices.py
@@ -1,4 +1,4 @@
-"""Passes requests through to plain services, each at most once."""
+"""Forwards requests to plain services, each at most once."""
 
 from collections.abc import Iterator
 import itertools
@@ -24,12 +24,12 @@
 from bulrushdeald import services
 
 PREFIX = "/services/"
-# Bodies up to this are read before the request is placed, so that the same
-# request is known again; longer ones are relayed as they come.
-_SMALL_BODY_BYTES = 64 * 1024
+# Bodies up to this size are read before the request is placed, so that its
+# fingerprint covers the whole body; longer ones are streamed.
+_MAX_BUFFERED_BYTES = 64 * 1024
 
 
-class _Request(NamedTuple):
+class _PlainRequest(NamedTuple):
     """A checked request to a plain service."""
 
     service: str
@@ -37,11 +37,16 @@
     fingerprint: str
 
 
-class _Body(NamedTuple):
-    """A body to send, and what of it is known before."""
+class _PlainBody(NamedTuple):
+    """A body to send.
+
+    Attributes:
+        content: The whole body, or its chunks.
+        fingerprinted: The part read before sending, for the fingerprint.
+    """
 
     content: bytes | Iterator[bytes]
-    known: bytes
+    fingerprinted: bytes
 
 
 class PlainServices:
@@ -62,44 +67,44 @@
         self._deadline_s = settings.online_deadline_s
 
     def serve(self, request: httpd.Request, call: calls.Call) -> httpd.Response:
-        """Passes one request through."""
-        checked = self._check(request, call)
+        """Forwards one request and streams its answer."""
+        checked = self._read_request(request, call)
         if isinstance(checked, result.Err):
             return refusals.response(checked.err_value)
         plain = checked.ok_value
         taken = self._limits.take(call.customer)
         if isinstance(taken, result.Err):
-            self._record(plain, call, taken.err_value.code)
+            self._record_usage(plain, call, taken.err_value.code)
             return refusals.response(taken.err_value)
-        guarded = idempotency.look_up(
+        looked_up = idempotency.look_up(
             self._intents, request, call, plain.fingerprint
         )
-        if isinstance(guarded, result.Err):
-            return guarded.err_value
-        guard = guarded.ok_value
+        if isinstance(looked_up, result.Err):
+            return looked_up.err_value
+        guard = looked_up.ok_value
         started = self._dispatcher.run(
             self._work(plain, call), plain.sending, call, guard
         )
         if isinstance(started, result.Err):
             refusal = started.err_value.refusal
-            self._record(plain, call, refusal.code)
+            self._record_usage(plain, call, refusal.code)
             return refusals.response(refusal)
         relay = relays.Relay(
             started.ok_value,
             call,
             guard,
-            lambda relay: self._record(plain, call, relay.code),
+            lambda relay: self._record_usage(plain, call, relay.code),
         )
         return httpd.Response(
             relay.answer.status,
             relay.answer.headers,
-            calls.Body(_chunks(relay), relay.close),
+            calls.Body(_answer_chunks(relay), relay.close),
         )
 
-    def _check(
+    def _read_request(
         self, request: httpd.Request, call: calls.Call
-    ) -> result.Result[_Request, services.Refusal]:
-        path, mark, query = request.target.partition("?")
+    ) -> result.Result[_PlainRequest, services.Refusal]:
+        path, separator, query = request.target.partition("?")
         segment, _, rest = path.removeprefix(PREFIX).partition("/")
         service = urllib.parse.unquote(segment)
         if (
@@ -112,55 +117,59 @@
         key = headers_lib.bearer(request.headers)
         if headers_lib.holds(request.target, key=key):
             return result.Err(
-                refusals.bad_input("The path holds the key.", "path")
+                refusals.bad_input("The path contains the API key.", "path")
             )
         if not request.target.isascii():
             return result.Err(
                 refusals.bad_input("The path is not ASCII.", "path")
             )
-        target = f"/{rest}{mark}{query}"
+        target = f"/{rest}{separator}{query}"
         headers = headers_lib.for_upstream(request.headers, key)
-        body = self._body(request, key)
+        body = self._read_body(request, key)
         if isinstance(body, result.Err):
             return body
         if request.length_bytes >= 0:
             headers["content-length"] = str(request.length_bytes)
-        content, known = body.ok_value
+        content, fingerprinted = body.ok_value
         sending = dispatch.Sending(
             request.method, target, headers, content, is_idempotent=False
         )
-        name = f"{request.method} {request.target} {request.length_bytes}"
+        request_line = (
+            f"{request.method} {request.target} {request.length_bytes}"
+        )
         return result.Ok(
-            _Request(
+            _PlainRequest(
                 service,
                 sending,
-                completions.fingerprint(call.customer, name, known),
+                completions.fingerprint(
+                    call.customer, request_line, fingerprinted
+                ),
             )
         )
 
-    def _body(
+    def _read_body(
         self, request: httpd.Request, key: str
-    ) -> result.Result[_Body, services.Refusal]:
-        max_bytes = _SMALL_BODY_BYTES
+    ) -> result.Result[_PlainBody, services.Refusal]:
+        max_bytes = _MAX_BUFFERED_BYTES
         is_keyed = idempotency.HEADER in request.headers
         if is_keyed:
-            # The whole body must be known, to tell another request with
-            # the same key.
+            # The fingerprint must cover the whole body, so that another
+            # request with the same key is detected.
             max_bytes = self._max_body_bytes
         is_chunked = "transfer-encoding" in request.headers
         is_long = is_chunked or request.length_bytes > max_bytes
         if is_long and not is_keyed:
-            return _streamed(request, key)
+            return _streamed_body(request, key)
         body = bodies.read_whole(request, max_bytes)
         if isinstance(body, result.Err):
             return body
         if key.encode() in body.ok_value:
             return result.Err(
-                refusals.bad_input("The body holds the key.", "body")
+                refusals.bad_input("The body contains the API key.", "body")
             )
-        return result.Ok(_Body(body.ok_value, body.ok_value))
+        return result.Ok(_PlainBody(body.ok_value, body.ok_value))
 
-    def _work(self, plain: _Request, call: calls.Call) -> services.Work:
+    def _work(self, plain: _PlainRequest, call: calls.Call) -> services.Work:
         work_class: records.WorkClass = "online"
         return services.Work(
             call.customer,
@@ -173,7 +182,9 @@
             self._deadline_s,
         )
 
-    def _record(self, plain: _Request, call: calls.Call, outcome: str) -> None:
+    def _record_usage(
+        self, plain: _PlainRequest, call: calls.Call, outcome: str
+    ) -> None:
         self._usage.record(
             services.UsageEvent(
                 time.time(),
@@ -186,23 +197,24 @@
         )
 
 
-def _streamed(
+def _streamed_body(
     request: httpd.Request, key: str
-) -> result.Result[_Body, services.Refusal]:
+) -> result.Result[_PlainBody, services.Refusal]:
     chunks = bodies.without_key(bodies.read_exactly(request), key)
     try:
-        # Without a piece of it all long bodies for a path would be one
-        # request to the router, which remembers those that crash upstreams.
+        # The first chunk is part of the fingerprint. Without it, all streamed
+        # bodies of one path and length would be the same request to the
+        # router, which quarantines requests that crash upstreams.
         first = next(chunks, b"")
     except bodies.BodyError as error:
         return result.Err(refusals.bad_input(str(error), "body"))
-    return result.Ok(_Body(itertools.chain((first,), chunks), first))
+    return result.Ok(_PlainBody(itertools.chain((first,), chunks), first))
 
 
-def _chunks(relay: relays.Relay) -> Iterator[bytes]:
+def _answer_chunks(relay: relays.Relay) -> Iterator[bytes]:
     for item in relay.items:
         if isinstance(item, result.Err):
-            # The head is out, so only a broken connection can tell the
-            # caller that this is not the whole answer.
+            # The response headers were sent, so only a broken connection shows
+            # the caller that the answer is incomplete.
             raise calls.BrokenAnswerError(item.err_value.message)
         yield item.ok_value
