--- a/packages/daemon/bulrushdeald/intents.py
+++ b/packages/daemon/bulrushdeald/intents.py
@@ -1,8 +1,9 @@
-"""Remembers which idempotency keys were used, before a request is sent.
+"""Records used idempotency keys in the platform's key-value service.
 
-An intent is written by compare-and-swap before the first byte leaves, so of
-all VMs one at most sends. One whose holder is gone without a result stays
-`unknown` for ever: nobody can tell whether the request ran.
+An intent is written by compare-and-swap before the first byte of a request is
+sent, so at most one VM sends it. If that VM is lost before it records an
+outcome, the intent stays `unknown` forever, since nothing shows whether the
+request ran.
 """
 
 import base64
@@ -25,7 +26,7 @@
 PREFIX = "intents/"
 _log = logs.Log("intents")
 
-_REPAIR_S = 1.0
+_REPAIR_INTERVAL_S = 1.0
 _PEER_TIMEOUT_S = 1.0
 _RETRY_AFTER_S = 1.0
 
@@ -33,13 +34,13 @@
 
 
 class Reply(NamedTuple):
-    """An upstream's whole answer, kept to be given again.
+    """An upstream's whole answer, stored to be replayed.
 
     Attributes:
         status: The HTTP status.
-        headers: As the caller got them.
-        body: In Base64.
-        is_kept: Whether the body is here; a large one is not.
+        headers: The headers that the caller received.
+        body: The body in Base64.
+        is_kept: Whether the body is stored; a large one is not.
     """
 
     status: int
@@ -49,16 +50,18 @@
 
 
 class Intent(NamedTuple):
-    """What a key of the platform's service holds.
+    """The stored record of one idempotency key.
 
     Attributes:
-        fingerprint: Of the request; another one may not use the key.
-        vm: Who sent, or was about to.
-        incarnation: Which run of that VM's process.
-        nonce: Tells this write from all others.
-        state: `sent` until the outcome is known, or known to be lost.
-        created_s: Seconds since the epoch.
-        reply: The answer, once there is one.
+        fingerprint: The fingerprint of the request; the key is refused for
+            any other request.
+        vm: The VM that sent the request, or was about to.
+        incarnation: The run of that VM's process.
+        nonce: Distinguishes this claim from all others.
+        state: `sent` until the outcome is recorded: `answered`, or `unknown`
+            if nothing shows whether the request ran.
+        created_s: When the claim was made, in seconds since the epoch.
+        reply: The answer of an `answered` request, else `None`.
     """
 
     fingerprint: str
@@ -71,7 +74,14 @@
 
 
 class Claim(NamedTuple):
-    """The right to send, held by one VM."""
+    """The right of one VM to send a request.
+
+    Attributes:
+        name: The intent's key in the platform's key-value service.
+        intent: The intent as it was written.
+        revision: The revision that the write got; -1 if it is not known
+            whether the write took effect.
+    """
 
     name: str
     intent: Intent
@@ -79,47 +89,47 @@
 
 
 class Question(NamedTuple):
-    """Asks an intent's holder whether the request still runs."""
+    """Asks the VM that made a claim whether the request still runs."""
 
     name: str
     nonce: str
 
 
 class Answer(NamedTuple):
-    """See `Question`."""
+    """The answer to a `Question`."""
 
     is_running: bool
 
 
-def name_of(customer: str, key: str) -> str:
-    """Returns the platform's key for a customer's idempotency key."""
+def intent_key(customer: str, key: str) -> str:
+    """Returns the key-value key for a customer's idempotency key."""
     digest = hashlib.sha256(f"{customer}\0{key}".encode()).hexdigest()
     return PREFIX + digest
 
 
 def pack(intent: Intent) -> bytes:
-    """Returns an intent as the platform's service holds it."""
+    """Serializes an intent for the platform's key-value service."""
     return json.dumps(codec.to_object(intent)).encode()
 
 
 def unpack(value: bytes) -> Intent | None:
-    """Returns an intent, `None` if the value is none."""
+    """Parses a stored intent; returns `None` if the value is not one."""
     try:
         return codec.from_plain(Intent, json.loads(value))
     except (ValueError, codec.CodecError):
         return None
 
 
-def reply_of(
+def make_reply(
     status: int, headers: tuple[tuple[str, str], ...], body: bytes | None
 ) -> Reply:
-    """Returns what is kept of an answer; `body` is `None` if too large."""
+    """Returns an answer to store; `body` is `None` if it is too large."""
     text = base64.b64encode(body or b"").decode()
     return Reply(status, headers, text, body is not None)
 
 
-def body_of(reply: Reply) -> bytes:
-    """Returns a kept body."""
+def decode_body(reply: Reply) -> bytes:
+    """Returns the stored body, empty if it is not valid Base64."""
     try:
         return base64.b64decode(reply.body)
     except binascii.Error:
@@ -127,7 +137,7 @@
 
 
 class Intents:
-    """Looks up, claims and settles idempotency keys."""
+    """Looks up and claims idempotency keys and records their outcomes."""
 
     def __init__(
         self, kernel: kernel_lib.Kernel, settings: defaults.Settings
@@ -135,13 +145,13 @@
         self._kernel = kernel
         self._vm = settings.vm
         self._lock = threading.Lock()
-        # Requests of this process under way, by name: the nonce.
+        # The nonces of this process's requests in progress, by name.
         self._running: dict[str, str] = {}
-        # Settled intents whose write failed; `None` means to be deleted.
+        # Outcomes not yet written, by name; `None` deletes the intent.
         self._unwritten: dict[str, tuple[Claim, Intent | None]] = {}
         self._stopping = threading.Event()
         self._thread = threading.Thread(
-            target=self._repair_often, name="intents", daemon=True
+            target=self._repair_periodically, name="intents", daemon=True
         )
 
     def start(self) -> None:
@@ -173,18 +183,22 @@
     def look_up(
         self, name: str, fingerprint: str
     ) -> result.Result[Reply | None, services.Refusal]:
-        """Returns the kept answer, `None` if the key was never used."""
+        """Returns the stored answer of a key, `None` if the key is unused."""
         found = self._keyvalue.get(name)
         if isinstance(found, result.Err):
-            return result.Err(_UNAVAILABLE)
+            return result.Err(_PLATFORM_UNAVAILABLE)
         if found.ok_value is None:
             return result.Ok(None)
-        return self._judge(found.ok_value, fingerprint)
+        return self._resolve(found.ok_value, fingerprint)
 
     def claim(
         self, name: str, fingerprint: str
     ) -> result.Result[Claim, services.Refusal]:
-        """Records that the request is about to be sent from here."""
+        """Records that this VM is about to send the request.
+
+        Returns:
+            The claim, or the final refusal; then nothing may be sent.
+        """
         nonce = secrets.token_hex(8)
         intent = Intent(
             fingerprint,
@@ -195,41 +209,45 @@
             time.time(),
         )
         with self._lock:
-            # Also while an older write of ours is still to be undone.
+            # An earlier claim's outcome or deletion may still be unwritten.
             if name in self._running or name in self._unwritten:
                 return result.Err(_IN_PROGRESS)
-            # Before the write: from then on another VM may ask for it.
+            # Set before the write, since another VM may ask about the intent
+            # as soon as it is written.
             self._running[name] = nonce
         put = self._keyvalue.put(name, pack(intent), 0)
         if isinstance(put, result.Ok):
             return result.Ok(Claim(name, intent, put.ok_value))
         error = put.err_value
-        if error.kind == "conflict" and _is_ours(error.current, nonce):
+        if error.kind == "conflict" and _is_unsettled_claim(
+            error.current, nonce
+        ):
             assert error.current is not None
             return result.Ok(Claim(name, intent, error.current.revision))
         if error.kind == "unknown":
-            # Nothing was sent, but the write may stand and would make the
-            # caller's next try wait for a request that never runs.
-            self._settle(Claim(name, intent, -1), None)
+            # Nothing was sent, but the write may have taken effect. If it is
+            # not undone, the caller's retries are refused as in progress for
+            # a request that never runs.
+            self._record_outcome(Claim(name, intent, -1), None)
         with self._lock:
             self._running.pop(name, None)
         conflict = error.kind == "conflict"
-        return result.Err(_IN_PROGRESS if conflict else _UNAVAILABLE)
+        return result.Err(_IN_PROGRESS if conflict else _PLATFORM_UNAVAILABLE)
 
-    def answered(self, claim: Claim, reply: Reply) -> None:
-        """Keeps the answer for the next time."""
+    def record_answer(self, claim: Claim, reply: Reply) -> None:
+        """Records the answer, to be replayed to retries."""
         intent = claim.intent._replace(state="answered", reply=reply)
-        self._settle(claim, intent)
+        self._record_outcome(claim, intent)
 
-    def unknown(self, claim: Claim) -> None:
-        """Records that nobody will ever know whether it ran."""
-        self._settle(claim, claim.intent._replace(state="unknown"))
+    def record_unknown(self, claim: Claim) -> None:
+        """Records that nothing shows whether the request ran."""
+        self._record_outcome(claim, claim.intent._replace(state="unknown"))
 
     def release(self, claim: Claim) -> None:
-        """Forgets a request that surely did not run."""
-        self._settle(claim, None)
+        """Deletes the intent of a request that certainly did not run."""
+        self._record_outcome(claim, None)
 
-    def _settle(self, claim: Claim, intent: Intent | None) -> None:
+    def _record_outcome(self, claim: Claim, intent: Intent | None) -> None:
         with self._lock:
             self._unwritten[claim.name] = (claim, intent)
         self._write(claim, intent)
@@ -237,86 +255,87 @@
             self._running.pop(claim.name, None)
 
     def _write(self, claim: Claim, intent: Intent | None) -> None:
-        """Writes an outcome; what fails is tried again later."""
+        """Writes an outcome; after a failure, `_repair` tries again."""
         if claim.revision < 0:
             current = self._keyvalue.get(claim.name)
             if isinstance(current, result.Err):
                 return
-            if not _is_ours(current.ok_value, claim.intent.nonce):
-                self._forget(claim)
+            if not _is_unsettled_claim(current.ok_value, claim.intent.nonce):
+                self._drop_unwritten(claim)
                 return
             assert current.ok_value is not None
             claim = claim._replace(revision=current.ok_value.revision)
         if intent is None:
             deleted = self._keyvalue.delete(claim.name, claim.revision)
-            is_over = _is_over(deleted)
+            is_final = _is_final(deleted)
         else:
             put = self._keyvalue.put(claim.name, pack(intent), claim.revision)
-            is_over = _is_over(put)
-        if is_over:
-            self._forget(claim)
+            is_final = _is_final(put)
+        if is_final:
+            self._drop_unwritten(claim)
 
-    def _forget(self, claim: Claim) -> None:
+    def _drop_unwritten(self, claim: Claim) -> None:
         with self._lock:
             self._unwritten.pop(claim.name, None)
 
-    def _judge(
+    def _resolve(
         self, entry: services.Entry, fingerprint: str
     ) -> result.Result[Reply | None, services.Refusal]:
         intent = unpack(entry.value)
         if intent is None:
-            return result.Err(_UNKNOWN)
+            return result.Err(_OUTCOME_UNKNOWN)
         if intent.fingerprint != fingerprint:
-            return result.Err(_OTHER_REQUEST)
-        settled = self._settled(entry.key, intent)
+            return result.Err(_KEY_REUSED)
+        settled = self._with_unwritten_outcome(entry.key, intent)
         if settled.state == "answered" and settled.reply is not None:
             if not settled.reply.is_kept:
-                return result.Err(_NOT_KEPT)
+                return result.Err(_ANSWER_NOT_KEPT)
             return result.Ok(settled.reply)
         if settled.state == "unknown":
-            return result.Err(_UNKNOWN)
-        if self._may_run(entry.key, intent):
+            return result.Err(_OUTCOME_UNKNOWN)
+        if self._may_still_run(entry.key, intent):
             return result.Err(_IN_PROGRESS)
-        return self._give_up(entry, intent)
+        return self._record_lost(entry, intent)
 
-    def _settled(self, name: str, intent: Intent) -> Intent:
-        """Returns the intent as this process knows it, if it wrote it."""
+    def _with_unwritten_outcome(self, name: str, intent: Intent) -> Intent:
+        """Returns the intent, with this VM's unwritten outcome if any."""
         with self._lock:
             claim, newer = self._unwritten.get(name, (None, None))
         if claim is None or claim.intent.nonce != intent.nonce:
             return intent
         return newer or intent
 
-    def _may_run(self, name: str, intent: Intent) -> bool:
-        """Tells whether a `sent` intent may still get its outcome."""
+    def _may_still_run(self, name: str, intent: Intent) -> bool:
+        """Returns whether a `sent` intent may still get its outcome."""
         own = (self._vm, self._membership.incarnation())
         if (intent.vm, intent.incarnation) == own:
-            return self._is_held(name, intent.nonce)
+            return self._is_in_progress_here(name, intent.nonce)
         if intent.vm == self._vm:
-            # An earlier run of this process.
+            # An earlier run of this VM's process made the claim.
             return False
         if self._peers is not None:
             asked = self._peers.call(
                 intent.vm, Question(name, intent.nonce), _PEER_TIMEOUT_S
             )
-            # The list lags, so the VM's own word goes before it.
+            # The list of VMs lags, so the VM's own answer takes precedence.
             if isinstance(asked, result.Ok):
                 return bool(asked.ok_value.is_running)
-        # Cut off is not gone: while it is listed it may still run.
+        # A VM that cannot be reached may still run while it is listed.
         return self._membership.is_listed(intent.vm)
 
-    def _give_up(
+    def _record_lost(
         self, entry: services.Entry, intent: Intent
     ) -> result.Result[Reply | None, services.Refusal]:
-        """Makes `unknown` final, unless the outcome came meanwhile."""
-        lost = intent._replace(state="unknown")
-        put = self._keyvalue.put(entry.key, pack(lost), entry.revision)
+        """Records the outcome as unknown unless the intent has changed."""
+        unknown = intent._replace(state="unknown")
+        put = self._keyvalue.put(entry.key, pack(unknown), entry.revision)
         if isinstance(put, result.Ok):
-            return result.Err(_UNKNOWN)
-        # Somebody settled it, or the platform is out: ask again.
+            return result.Err(_OUTCOME_UNKNOWN)
+        # The outcome was recorded meanwhile, or the platform is unavailable:
+        # the caller has to retry.
         return result.Err(_IN_PROGRESS)
 
-    def _is_held(self, name: str, nonce: str) -> bool:
+    def _is_in_progress_here(self, name: str, nonce: str) -> bool:
         with self._lock:
             if self._running.get(name) == nonce:
                 return True
@@ -325,10 +344,10 @@
 
     def _on_question(self, vm: str, question: Question) -> Answer:
         del vm
-        return Answer(self._is_held(question.name, question.nonce))
+        return Answer(self._is_in_progress_here(question.name, question.nonce))
 
-    def _repair_often(self) -> None:
-        while not self._stopping.wait(_REPAIR_S):
+    def _repair_periodically(self) -> None:
+        while not self._stopping.wait(_REPAIR_INTERVAL_S):
             self._repair()
 
     def _repair(self) -> None:
@@ -338,28 +357,30 @@
             self._write(claim, intent)
 
 
-def _is_ours(entry: services.Entry | None, nonce: str) -> bool:
+def _is_unsettled_claim(entry: services.Entry | None, nonce: str) -> bool:
     if entry is None:
         return False
     intent = unpack(entry.value)
-    # A key that another VM gave up keeps our nonce, but is no longer ours:
-    # undoing or answering it would take back the "unknown" a caller was told.
+    # An intent that another VM recorded as unknown keeps the claim's nonce.
+    # Deleting or answering it would contradict the "unknown" that a caller
+    # has already received.
     return intent is not None and (intent.nonce, intent.state) == (
         nonce,
         "sent",
     )
 
 
-def _is_over(
+def _is_final(
     written: result.Result[Any, services.KeyValueError],
 ) -> bool:
-    # On a conflict somebody else declared the outcome unknown, which stays.
+    # A conflict means that another VM recorded the outcome as unknown, which
+    # is final.
     return (
         isinstance(written, result.Ok) or written.err_value.kind == "conflict"
     )
 
 
-_UNAVAILABLE = services.Refusal(
+_PLATFORM_UNAVAILABLE = services.Refusal(
     503,
     "platform_unavailable",
     "The idempotency key cannot be recorded now.",
@@ -368,23 +389,23 @@
 _IN_PROGRESS = services.Refusal(
     409,
     "in_progress",
-    "A request with this idempotency key is under way.",
+    "A request with this idempotency key is in progress.",
     "unknown",
     _RETRY_AFTER_S,
 )
-_UNKNOWN = services.Refusal(
+_OUTCOME_UNKNOWN = services.Refusal(
     409,
     "outcome_unknown",
-    "Whether the request with this idempotency key ran is not known.",
+    "It is not known whether the request with this idempotency key ran.",
     "unknown",
 )
-_NOT_KEPT = services.Refusal(
+_ANSWER_NOT_KEPT = services.Refusal(
     409,
     "already_answered",
     "The request was answered before; its answer was too large to keep.",
     "ran",
 )
-_OTHER_REQUEST = services.Refusal(
+_KEY_REUSED = services.Refusal(
     422,
     "idempotency_key_reused",
     "The idempotency key was used for another request.",
--- a/packages/daemon/bulrushdeald/sweeper.py
+++ b/packages/daemon/bulrushdeald/sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes old intents, on one VM at a time and at a bounded rate."""
+"""Deletes expired intents, on one VM at a time and at a bounded rate."""
 
 import itertools
 import threading
@@ -17,17 +17,19 @@
 SWEEPER = "intents_sweeper"
 _log = logs.Log("sweeper")
 
-# One round over all buckets takes 68 minutes: a list call a second.
-_TICK_S = 1.0
-_BUCKET_DIGITS = 3
+# One list call per second: a pass over all 4096 buckets takes 68 minutes.
+_SWEEP_INTERVAL_S = 1.0
+_BUCKET_HEX_DIGITS = 3
+# Per bucket and pass.
 _MAX_DELETES = 100
 
 
 class Sweeper:
-    """Sweeps one bucket of intents at a time.
+    """Deletes expired intents, one bucket at a time.
 
-    Two VMs that see different lists may both sweep; each delete names the
-    revision that was read, so that does no harm.
+    A bucket holds the intents whose keys share their first hex digits. Two VMs
+    with different lists of VMs may both sweep, which is safe: each delete is
+    conditional on the revision that was read.
     """
 
     def __init__(
@@ -35,8 +37,8 @@
     ) -> None:
         self._kernel = kernel
         self._vm = settings.vm
-        self._age_s = settings.intent_age_s
-        self._buckets = itertools.cycle(range(16**_BUCKET_DIGITS))
+        self._max_age_s = settings.intent_age_s
+        self._buckets = itertools.cycle(range(16**_BUCKET_HEX_DIGITS))
         self._deleted = 0
         self._stopping = threading.Event()
         self._thread = threading.Thread(
@@ -60,24 +62,32 @@
         return {"deleted": self._deleted}
 
     def sweep(self, bucket: int, now_s: float) -> int:
-        """Deletes the old intents of a bucket; returns how many."""
-        prefix = f"{intents.PREFIX}{bucket:0{_BUCKET_DIGITS}x}"
+        """Deletes the expired intents of a bucket.
+
+        Args:
+            bucket: The bucket's number.
+            now_s: The current time, in seconds since the epoch.
+
+        Returns:
+            The number of intents deleted.
+        """
+        prefix = f"{intents.PREFIX}{bucket:0{_BUCKET_HEX_DIGITS}x}"
         listed = self._keyvalue.list(prefix)
         if isinstance(listed, result.Err):
             return 0
-        old = [
+        expired = [
             entry
             for entry in listed.ok_value
-            if _is_old(entry, now_s - self._age_s)
+            if _is_created_before(entry, now_s - self._max_age_s)
         ]
         count = 0
-        for entry in old[:_MAX_DELETES]:
+        for entry in expired[:_MAX_DELETES]:
             deleted = self._keyvalue.delete(entry.key, entry.revision)
             count += isinstance(deleted, result.Ok)
         return count
 
     def _run(self) -> None:
-        while not self._stopping.wait(_TICK_S):
+        while not self._stopping.wait(_SWEEP_INTERVAL_S):
             vms = tuple(
                 vm.vm
                 for vm in self._membership.entry_vms()
@@ -87,6 +97,6 @@
                 self._deleted += self.sweep(next(self._buckets), time.time())
 
 
-def _is_old(entry: services.Entry, before_s: float) -> bool:
+def _is_created_before(entry: services.Entry, before_s: float) -> bool:
     intent = intents.unpack(entry.value)
     return intent is not None and intent.created_s < before_s
--- a/tests/daemon/test_callers.py
+++ b/tests/daemon/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' server: answers, streams, errors and limits."""
+"""Tests of the callers' server: responses, streams, errors and limits."""
 
 from collections.abc import Iterator
 import json
@@ -106,8 +106,8 @@
     first, second = b"a" * 70_000, b"b" * 70_000
     for body in (first, second, second):
         vm.ask("POST", "/services/booking/", body)
-    known = [work.fingerprint for work in vm.router.works[-3:]]
-    assert known[0] != known[1] == known[2]
+    fingerprints = [work.fingerprint for work in vm.router.works[-3:]]
+    assert fingerprints[0] != fingerprints[1] == fingerprints[2]
 
 
 @pytest.mark.parametrize(
@@ -127,7 +127,7 @@
         (pathfakes.chat(pathfakes.KEY), 400, "invalid_request", "body"),
     ],
 )
-def test_bad_input_is_named_and_does_not_count(
+def test_invalid_input_names_its_field_and_takes_no_quota(
     vm: pathfakes.SmallVm,
     standin: engine.Engine,
     body: object,
@@ -160,12 +160,14 @@
     assert vm.ask("GET", "/healthz").status == 503
 
 
-def test_bulk_routes_get_a_bounded_share(vm: pathfakes.SmallVm) -> None:
+def test_bulk_routes_hold_a_bounded_share_of_threads(
+    vm: pathfakes.SmallVm,
+) -> None:
     def serve(
         request: httpd.Request, principal: services.Principal
     ) -> httpd.Response:
-        # A slow transfer holds its place until its body is over, so a
-        # transfer inside a transfer counts twice.
+        # A transfer holds its thread until its body is closed, so each request
+        # nested in a handler holds one more.
         inner = vm.ask("POST", "/v1/files").status if depth() < 20 else 0
         statuses.append(inner)
         return httpd.json_response(200, {})
@@ -182,7 +184,7 @@
     assert vm.ask("GET", "/v1/models").status == 200
 
 
-def test_bulk_address_has_threads_of_its_own() -> None:
+def test_bulk_address_has_its_own_listener() -> None:
     with pathfakes.running(bulk_address="127.0.0.1:0") as vm:
         first, second = vm.callers._servers
         assert first.port != second.port
--- a/tests/support/keyvalues.py
+++ b/tests/support/keyvalues.py
@@ -6,14 +6,16 @@
 
 
 class MemoryKeyValue:
-    """One service for all VMs of a test, with outages and lost answers.
+    """A key-value service in memory, with outages and lost answers.
 
     Attributes:
-        entries: What is held, by key.
-        has_outage: Each call fails without effect.
-        lose_answers: How many of the next puts take effect unanswered.
-        reads: Calls that read, counted.
-        writes: Calls that write, counted.
+        entries: The stored entries by key.
+        revision: The revision of the last put.
+        has_outage: Whether each call fails without effect.
+        lose_answers: How many of the next puts take effect and then fail as
+            `unknown`.
+        reads: The number of calls that read.
+        writes: The number of calls that write.
     """
 
     def __init__(self) -> None:
@@ -47,7 +49,7 @@
     def put(
         self, key: str, value: bytes, expected_revision: int
     ) -> result.Result[int, services.KeyValueError]:
-        checked = self._check(key, expected_revision)
+        checked = self._check_revision(key, expected_revision)
         if isinstance(checked, result.Err):
             return checked
         self.revision += 1
@@ -60,20 +62,20 @@
     def delete(
         self, key: str, expected_revision: int
     ) -> result.Result[None, services.KeyValueError]:
-        checked = self._check(key, expected_revision)
+        checked = self._check_revision(key, expected_revision)
         if isinstance(checked, result.Ok):
             self.entries.pop(key, None)
         return checked
 
-    def _check(
+    def _check_revision(
         self, key: str, expected_revision: int
     ) -> result.Result[None, services.KeyValueError]:
         self.writes += 1
         if self.has_outage:
             return self._out()
-        held = self.entries.get(key)
-        if (held.revision if held else 0) != expected_revision:
-            error = services.KeyValueError("conflict", "held", held)
+        current = self.entries.get(key)
+        if (current.revision if current else 0) != expected_revision:
+            error = services.KeyValueError("conflict", "held", current)
             return result.Err(error)
         return result.Ok(None)
 
--- a/tests/support/pathfakes.py
+++ b/tests/support/pathfakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the platform for the callers' path, and a small VM to ask."""
+"""A VM with only the callers' path, over fakes of the platform."""
 
 from collections.abc import Callable, Iterator
 import contextlib
@@ -24,12 +24,16 @@
 
 
 class FakeKeyValue(keyvalues.MemoryKeyValue, staticvm.StaticService):
-    """Shared by the VMs of a test, whose threads call it at once."""
+    """A thread-safe key-value service, shared by the VMs of a test.
+
+    Attributes:
+        on_write: Called once, after the next put took effect and before it
+            returns.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self._lock = threading.Lock()
-        # Called once after a write took effect, before its answer.
         self.on_write: Callable[[], None] | None = None
 
     def put(
@@ -50,7 +54,7 @@
 
 
 class Platform:
-    """What several small VMs share."""
+    """The platform state that several VMs of a test share."""
 
     def __init__(self) -> None:
         self.keyvalue = FakeKeyValue()
@@ -58,7 +62,7 @@
 
 
 class SmallVm(staticvm.StaticVm):
-    """The callers' path of one VM, with fakes around it."""
+    """One VM with the callers' path; all other services are fakes."""
 
     def __init__(
         self,
@@ -88,21 +92,29 @@
         key: str = KEY,
         **headers: str,
     ) -> "Reply":
-        """Sends one request on a connection of its own."""
+        """Sends one request on a new connection.
+
+        Args:
+            method: The HTTP method.
+            path: The path with the query.
+            body: Bytes, or a value to send as JSON; `None` for no body.
+            key: The API key.
+            headers: More headers, with underscores for hyphens.
+        """
         with contextlib.closing(self.connect()) as connection:
             data = body if isinstance(body, bytes) else json.dumps(body)
-            names = {k.replace("_", "-"): v for k, v in headers.items()}
+            extra_headers = {k.replace("_", "-"): v for k, v in headers.items()}
             connection.request(
                 method,
                 path,
                 data if body is not None else None,
-                {"Authorization": f"Bearer {key}", **names},
+                {"Authorization": f"Bearer {key}", **extra_headers},
             )
             return Reply(connection.getresponse())
 
 
 class Reply:
-    """A whole answer."""
+    """A response, read whole."""
 
     def __init__(self, response: http.client.HTTPResponse) -> None:
         self.status = response.status
@@ -139,9 +151,9 @@
     return {"model": "textbook", "messages": messages, **fields}
 
 
-def wait_until(is_so: Callable[[], bool], timeout_s: float = 10.0) -> None:
-    """Waits for what another thread will bring about; fails if it does not."""
+def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> None:
+    """Waits until a condition holds; fails after `timeout_s` seconds."""
     end_s = time.monotonic() + timeout_s
-    while not is_so():
-        assert time.monotonic() < end_s, "it did not happen"
+    while not condition():
+        assert time.monotonic() < end_s, "condition not met in time"
         time.sleep(0.005)
