--- a/packages/daemon/bulrushdeald/objects.py
+++ b/packages/daemon/bulrushdeald/objects.py
@@ -1,11 +1,11 @@
-"""Immutable objects in the bulk stores, and the messages that move them."""
+"""References to objects in the bulk stores, and the stores' messages."""
 
 import hashlib
 import re
 from typing import Literal, NamedTuple
 
 # A piece and its envelope stay below 256 KB, so that a message of another
-# service never waits long behind one on the same connection.
+# service on the same connection does not wait long behind it.
 PIECE_BYTES = 240 * 1024
 _NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]*(/[A-Za-z0-9_.-]+)*")
 
@@ -13,13 +13,14 @@
 
 
 class ObjectRef(NamedTuple):
-    """Names one immutable object and says where it was written.
+    """A reference to an immutable object.
 
     Attributes:
-        name: Unique for ever; never written with other content.
-        size_bytes: Its length.
-        checksum: SHA-256 in hexadecimal.
-        stores: The VMs that held it first; later copies may be elsewhere.
+        name: A unique name that is never reused for other content.
+        size_bytes: The object's length.
+        checksum: The object's SHA-256 in hexadecimal.
+        stores: The VMs that it was first written to; repair may have put
+            copies on other VMs since.
     """
 
     name: str
@@ -29,16 +30,17 @@
 
 
 class StorePut(NamedTuple):
-    """One piece of an object; the last piece makes it durable.
+    """Writes one piece of an object; the last piece makes it durable.
 
     Attributes:
-        upload: A random name of this attempt to write.
+        upload: A random id of this attempt to write the object.
         name: The object's name.
         partner: The VM that holds the other copy; empty if there is none.
-        written_wall_s: When it was first written; it expires from then.
+        written_wall_s: When the object was first written, from which its
+            retention time counts.
         size_bytes: The whole object's length.
         checksum: The whole object's SHA-256 in hexadecimal.
-        offset_bytes: Where this piece begins.
+        offset_bytes: The offset of this piece in the object.
         data: The piece.
     """
 
@@ -53,7 +55,7 @@
 
 
 class StoreGet(NamedTuple):
-    """Asks for a range of an object."""
+    """Requests a range of an object."""
 
     name: str
     offset_bytes: int
@@ -61,20 +63,26 @@
 
 
 class StoreRetag(NamedTuple):
-    """Says that the other copy of an object is on another VM now."""
+    """Records that another VM now holds the other copy of an object."""
 
     name: str
     partner: str
 
 
 class StoreDelete(NamedTuple):
-    """Deletes an object; deleting none is fine."""
+    """Deletes an object; succeeds if there is no such object."""
 
     name: str
 
 
 class StoreList(NamedTuple):
-    """Asks for names beginning with `prefix`, after `after` in order."""
+    """Requests the names with a prefix, in order.
+
+    Attributes:
+        prefix: What the names begin with.
+        after: Names up to and including this one are left out.
+        limit: The greatest number of names to return.
+    """
 
     prefix: str
     after: str
@@ -82,7 +90,14 @@
 
 
 class StoreReply(NamedTuple):
-    """How a write or deletion went."""
+    """The outcome of a write, retag or deletion.
+
+    Attributes:
+        status: `fenced` if other content is stored under the name, `full` if
+            the disk is full, `broken` for any other failure.
+        message: The cause of a failure; `held` if the object was already
+            stored with this content.
+    """
 
     status: Status
     message: str = ""
@@ -92,11 +107,12 @@
     """A range of an object.
 
     Attributes:
-        status: Whether there is such an object.
+        status: `ok`, or `missing` if there is no such object.
         size_bytes: The whole object's length.
         checksum: The whole object's SHA-256 in hexadecimal.
-        written_wall_s: When it was first written.
-        data: The bytes asked for, fewer at the end.
+        written_wall_s: When the object was first written.
+        data: The bytes of the range; fewer than requested at the end of the
+            object, and at most `PIECE_BYTES`.
     """
 
     status: Status
@@ -107,7 +123,7 @@
 
 
 class StoreNames(NamedTuple):
-    """Some names in order."""
+    """Names of objects in order."""
 
     names: tuple[str, ...]
 
@@ -116,8 +132,8 @@
 ANSWERS = (StoreReply, StorePiece, StoreNames)
 
 
-def is_name(name: str) -> bool:
-    """Tells whether an object may have this name."""
+def is_valid_name(name: str) -> bool:
+    """Returns whether an object may have this name."""
     return bool(_NAME.fullmatch(name)) and ".." not in name
 
 
--- a/packages/daemon/bulrushdeald/repair.py
+++ b/packages/daemon/bulrushdeald/repair.py
@@ -1,4 +1,4 @@
-"""Copies objects again whose other copy went with its store."""
+"""Restores the second copy of objects after the loss of a store."""
 
 import threading
 from typing import Any
@@ -18,20 +18,21 @@
 _log = logs.Log("repair")
 
 NAME = "repair"
-_ROUND_S = 5.0
-# The list lags and may miss a VM for a moment; copying is not free.
-_GONE_S = 30.0
-_EXPIRY_S = 3600.0
-# Bounds what repairs take from the disk and the network of a small VM.
-_BYTES_PER_S = 8_000_000
+_INTERVAL_S = 5.0
+# A VM counts as lost when it has been off the list of VMs for this long. The
+# list lags and may omit a VM for a moment, and copying has a cost.
+_LOST_AFTER_S = 30.0
+_EXPIRY_INTERVAL_S = 3600.0
+# Limits the disk and network load that copying puts on a small VM.
+_MAX_BYTES_PER_S = 8_000_000
 
 
 class Repair:
     """Keeps each object of this VM's store in two failure domains.
 
-    The store files objects by the VM that holds the other copy, so what is
-    to be copied after a VM's loss is one folder, and neither the platform's
-    service nor the objects' readers need to know.
+    The store has one folder of objects for each VM that holds their other
+    copies, so the objects to copy after the loss of a VM are in one folder.
+    Repair needs no message to the platform's service or the objects' readers.
     """
 
     def __init__(
@@ -44,78 +45,79 @@
         self._clock = clock or clock_lib.SystemClock()
         self._retention_s = settings.batch_retention_s
         self._stopping = threading.Event()
-        self._gone_since_s: dict[str, float] = {}
-        self._expired_s = self._clock.monotonic_s()
+        self._unlisted_since_s: dict[str, float] = {}
+        self._last_expiry_s = self._clock.monotonic_s()
         self._copied = 0
         self._expired = 0
 
     def connect(self) -> None:
-        """Looks the other services up."""
+        """Looks up the services it uses."""
         find = self._kernel.find
         self._store = find(services.STORE, store.DiskStore)
         self._replicas = find(replicas.NAME, replicas.Replicas)
         self._membership = find(services.MEMBERSHIP, services.Membership)
 
     def start(self) -> None:
-        """Begins to look for lost copies."""
+        """Starts the thread that looks for lost copies."""
         self.connect()
         threading.Thread(target=self._loop, name=NAME, daemon=True).start()
 
     def stop(self, grace_s: float) -> None:
-        """Ends at once; the next start goes on."""
+        """Ends the thread without waiting; the next start resumes its work."""
         del grace_s
         self._stopping.set()
 
     def dump(self) -> Any:
-        """Returns counts since the start, and who is gone."""
+        """Returns the objects copied and expired, and the unlisted partners."""
         return {
             "copied": self._copied,
             "expired": self._expired,
-            "partners_gone": sorted(self._gone_since_s),
+            "partners_gone": sorted(self._unlisted_since_s),
         }
 
     def _loop(self) -> None:
-        while not self._stopping.wait(_ROUND_S):
+        while not self._stopping.wait(_INTERVAL_S):
             try:
                 self.tick()
-            except Exception:  # noqa: BLE001 - the loop has to live on.
+            except Exception:  # noqa: BLE001 - the loop must continue.
                 _log.exception("A round failed.")
 
     def tick(self) -> None:
-        """Copies what lost its other copy and deletes what expired."""
+        """Copies objects that lost their other copy and deletes old objects."""
         now_s = self._clock.monotonic_s()
         for partner in self._store.partners():
-            if self._is_gone(partner, now_s):
-                self._copy_all(partner)
-        if now_s - self._expired_s >= _EXPIRY_S:
-            self._expired_s = now_s
+            if self._is_lost(partner, now_s):
+                self._copy_objects(partner)
+        if now_s - self._last_expiry_s >= _EXPIRY_INTERVAL_S:
+            self._last_expiry_s = now_s
             before_s = self._clock.wall_s() - self._retention_s
             self._expired += self._store.expire(before_s)
 
-    def _is_gone(self, partner: str, now_s: float) -> bool:
+    def _is_lost(self, partner: str, now_s: float) -> bool:
         if partner and self._membership.is_listed(partner):
-            self._gone_since_s.pop(partner, None)
+            self._unlisted_since_s.pop(partner, None)
             return False
-        since_s = self._gone_since_s.setdefault(partner, now_s)
-        return now_s - since_s >= _GONE_S
+        # An empty partner stands for objects that have no other copy yet.
+        since_s = self._unlisted_since_s.setdefault(partner, now_s)
+        return now_s - since_s >= _LOST_AFTER_S
 
-    def _copy_all(self, partner: str) -> None:
-        size = 0
-        for name in self._store.names_with(partner):
+    def _copy_objects(self, partner: str) -> None:
+        size_bytes = 0
+        for name in self._store.names_by_partner(partner):
             if self._stopping.is_set():
                 return
-            target = self._target(name)
+            target = self._choose_target(name)
             if target is None:
                 return
-            copied = self._copy(name, target.vm)
-            if copied is None:
+            copied_bytes = self._copy(name, target.vm)
+            if copied_bytes is None:
                 return
-            size += copied
-            if size >= _BYTES_PER_S:
-                self._clock.sleep_s(size / _BYTES_PER_S)
-                size = 0
+            size_bytes += copied_bytes
+            if size_bytes >= _MAX_BYTES_PER_S:
+                self._clock.sleep_s(size_bytes / _MAX_BYTES_PER_S)
+                size_bytes = 0
 
-    def _target(self, name: str) -> records.Vm | None:
+    def _choose_target(self, name: str) -> records.Vm | None:
         own = self._membership.own()
         others = {
             vm.vm: vm
@@ -126,17 +128,18 @@
         return others[ranked[0]] if ranked else None
 
     def _copy(self, name: str, target: str) -> int | None:
-        held = self._store.read(name)
-        if held is None:
+        stored = self._store.read(name)
+        if stored is None:
             return 0
         own = self._membership.own().vm
         copied = self._replicas.copy(
-            name, held.data, held.written_wall_s, target, own
+            name, stored.data, stored.written_wall_s, target, own
         )
         if isinstance(copied, result.Err):
             _log.warning("Cannot copy %s: %s.", name, copied.err_value)
             return None
-        # Only now: until the copy is durable the object stays on the list.
+        # Retagged only after the copy is durable, so that an object whose
+        # copying fails is tried again.
         self._store.retag(name, target)
         self._copied += 1
-        return len(held.data)
+        return len(stored.data)
--- a/packages/daemon/bulrushdeald/replicas.py
+++ b/packages/daemon/bulrushdeald/replicas.py
@@ -1,4 +1,4 @@
-"""Writes each object to two bulk stores and reads it from any."""
+"""Client that writes each object to two bulk stores and reads either copy."""
 
 from collections.abc import Sequence
 import secrets
@@ -20,18 +20,18 @@
 
 NAME = "replicas"
 _CALL_TIMEOUT_S = 3.0
-_ATTEMPTS = 4
+_MAX_PUT_ATTEMPTS = 4
 
 
 class _FailedPut(NamedTuple):
-    """The store that did not take an object, and why."""
+    """The store to which a write failed, and the error."""
 
     vm: str
     error: services.StoreError
 
 
 class Replicas:
-    """A client of all bulk stores, on every VM."""
+    """Reads and writes objects in the bulk stores of all VMs."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._single_copies = 0
 
     def start(self) -> None:
-        """Looks up the peers."""
+        """Looks up the services it uses and registers the stores' answers."""
         self._peers = self._kernel.find(services.PEERS, services.Peers)
         self._membership = self._kernel.find(
             services.MEMBERSHIP, services.Membership
@@ -55,11 +55,11 @@
         self._peers.understand(*objects.ANSWERS)
 
     def stop(self, grace_s: float) -> None:
-        """Has nothing to end."""
+        """Does nothing: there is no thread or connection to end."""
         del grace_s
 
     def dump(self) -> Any:
-        """Returns the stores as seen from here."""
+        """Returns the stores listed, the domains seen and the single copies."""
         return {
             "stores": [vm.vm for vm in self.stores()],
             "failure_domains_seen": sorted(self._domains_seen),
@@ -67,7 +67,7 @@
         }
 
     def stores(self) -> tuple[records.Vm, ...]:
-        """Returns the listed VMs with a disk."""
+        """Returns the listed VMs with a disk and records the domains listed."""
         vms = self._membership.entry_vms()
         with self._lock:
             self._domains_seen.update(vm.failure_domain for vm in vms)
@@ -76,28 +76,32 @@
     def put(
         self, name: str, data: bytes
     ) -> result.Result[objects.ObjectRef, services.StoreError]:
-        """Makes an object durable in two failure domains.
+        """Writes an object durably to stores in two failure domains.
 
-        Where the list of VMs has only ever shown one failure domain, two
-        stores of it are taken, or the only store there is.
+        If the list of VMs has only ever contained one failure domain, the
+        object is written to two of its stores, or to its only store.
+
+        Returns:
+            A reference to the object. The error `fenced` means that a store
+            has other content under this name.
         """
         checksum = objects.checksum(data)
         written_wall_s = self._clock.wall_s()
         failed: set[str] = set()
         error = services.StoreError("unavailable", "no store answered")
-        for _ in range(_ATTEMPTS):
-            pair = self._choose(name, failed)
-            if isinstance(pair, result.Err):
-                return pair if not failed else result.Err(error)
-            placed = self._put_pair(
-                pair.ok_value, name, data, checksum, written_wall_s
+        for _ in range(_MAX_PUT_ATTEMPTS):
+            chosen = self._choose_stores(name, failed)
+            if isinstance(chosen, result.Err):
+                return chosen if not failed else result.Err(error)
+            put = self._put_copies(
+                chosen.ok_value, name, data, checksum, written_wall_s
             )
-            if isinstance(placed, result.Ok):
-                stores = tuple(vm.vm for vm in pair.ok_value)
+            if isinstance(put, result.Ok):
+                stores = tuple(vm.vm for vm in chosen.ok_value)
                 ref = objects.ObjectRef(name, len(data), checksum, stores)
                 return result.Ok(ref)
-            failed.add(placed.err_value.vm)
-            error = placed.err_value.error
+            failed.add(put.err_value.vm)
+            error = put.err_value.error
             if error.kind == "fenced":
                 return result.Err(error)
         return result.Err(error)
@@ -105,23 +109,33 @@
     def get(
         self, ref: objects.ObjectRef
     ) -> result.Result[bytes, services.StoreError]:
-        """Returns an object's content, from a copy that is whole."""
-        answered = 0
+        """Returns an object's content from the first undamaged copy.
+
+        Returns:
+            The content. The error is `missing` only if every listed store
+            answered that it has no undamaged copy, else `unavailable`.
+        """
+        missing_count = 0
         order = self._read_order(ref)
         for vm in order:
             data = self._get_from(vm, ref)
             if isinstance(data, result.Ok):
                 return data
-            answered += data.err_value.kind == "missing"
-        # Only if each store was asked is it known to be gone.
-        kind = services.StoreError(
-            "missing" if order and answered == len(order) else "unavailable",
+            missing_count += data.err_value.kind == "missing"
+        # A store that did not answer may still have a copy.
+        error = services.StoreError(
+            "missing"
+            if order and missing_count == len(order)
+            else "unavailable",
             f"{ref.name} could not be read",
         )
-        return result.Err(kind)
+        return result.Err(error)
 
     def delete(self, ref: objects.ObjectRef) -> None:
-        """Deletes an object where it was written; what fails expires."""
+        """Deletes an object from the stores that it was first written to.
+
+        Errors are ignored, because copies left over expire.
+        """
         for vm in ref.stores:
             self._peers.call(vm, objects.StoreDelete(ref.name), _CALL_TIMEOUT_S)
 
@@ -133,13 +147,21 @@
         target: str,
         partner: str,
     ) -> result.Result[None, services.StoreError]:
-        """Writes one more copy of an object to one store."""
+        """Writes one more copy of an object.
+
+        Args:
+            name: The object's name.
+            data: The object's content.
+            written_wall_s: When the object was first written.
+            target: The VM whose store gets the copy.
+            partner: The VM that holds the other copy.
+        """
         checksum = objects.checksum(data)
-        return self._put_to(
+        return self._put_copy(
             target, partner, name, data, checksum, written_wall_s
         )
 
-    def _choose(
+    def _choose_stores(
         self, name: str, failed: set[str]
     ) -> result.Result[tuple[records.Vm, ...], services.StoreError]:
         stores = {
@@ -152,9 +174,9 @@
             return result.Err(
                 services.StoreError("unavailable", "no bulk store is listed")
             )
-        own = self._membership.own().failure_domain
-        near = [vm for vm in ranked if vm.failure_domain == own]
-        first = (near or ranked)[0]
+        own_domain = self._membership.own().failure_domain
+        local = [vm for vm in ranked if vm.failure_domain == own_domain]
+        first = (local or ranked)[0]
         for vm in ranked:
             if vm.failure_domain != first.failure_domain:
                 return result.Ok((first, vm))
@@ -163,8 +185,8 @@
     def _choose_in_one_domain(
         self, first: records.Vm, ranked: Sequence[records.Vm]
     ) -> result.Result[tuple[records.Vm, ...], services.StoreError]:
-        # Two copies in one failure domain go together with it. That is
-        # only accepted where there has never been another domain.
+        # The loss of the failure domain loses both copies. This is only
+        # accepted if no other failure domain has ever been listed.
         if len(self._domains_seen) > 1:
             return result.Err(
                 services.StoreError(
@@ -177,25 +199,25 @@
             return result.Ok((first,))
         return result.Ok((ranked[0], ranked[1]))
 
-    def _put_pair(
+    def _put_copies(
         self,
-        pair: tuple[records.Vm, ...],
+        stores: tuple[records.Vm, ...],
         name: str,
         data: bytes,
         checksum: str,
         written_wall_s: float,
     ) -> result.Result[None, _FailedPut]:
-        names = [vm.vm for vm in pair]
-        for vm in names:
-            partner = "".join(other for other in names if other != vm)
-            put = self._put_to(
+        vms = [store.vm for store in stores]
+        for vm in vms:
+            partner = "".join(other for other in vms if other != vm)
+            put = self._put_copy(
                 vm, partner, name, data, checksum, written_wall_s
             )
             if isinstance(put, result.Err):
                 return result.Err(_FailedPut(vm, put.err_value))
         return result.Ok(None)
 
-    def _put_to(
+    def _put_copy(
         self,
         vm: str,
         partner: str,
@@ -219,24 +241,24 @@
                 piece,
             )
             answer = self._peers.call(vm, message, _CALL_TIMEOUT_S)
-            reply = _checked(answer)
+            reply = _check_answer(answer)
             if isinstance(reply, result.Err):
                 return reply
             offset += len(piece)
-            is_held = reply.ok_value.message == "held"
-            if offset >= len(data) or is_held:
+            is_stored = reply.ok_value.message == "held"
+            if offset >= len(data) or is_stored:
                 return result.Ok(None)
 
     def _read_order(self, ref: objects.ObjectRef) -> list[str]:
         own = self._membership.own()
         domains = {vm.vm: vm.failure_domain for vm in self.stores()}
-        hinted = [vm for vm in ref.stores if vm in domains]
-        hinted.sort(
+        first_stores = [vm for vm in ref.stores if vm in domains]
+        first_stores.sort(
             key=lambda vm: (vm != own.vm, domains[vm] != own.failure_domain)
         )
-        # A store that repaired a lost copy put it where the name ranks.
-        others = rendezvous.rank(ref.name, set(domains) - set(hinted))
-        return hinted + others
+        # Repair places new copies by the same ranking.
+        others = rendezvous.rank(ref.name, set(domains) - set(first_stores))
+        return first_stores + others
 
     def _get_from(
         self, vm: str, ref: objects.ObjectRef
@@ -245,20 +267,20 @@
         while True:
             message = objects.StoreGet(ref.name, len(data), objects.PIECE_BYTES)
             answer = self._peers.call(vm, message, _CALL_TIMEOUT_S)
-            piece = _checked(answer)
+            piece = _check_answer(answer)
             if isinstance(piece, result.Err):
                 return piece
             data += piece.ok_value.data
             if len(data) >= ref.size_bytes or not piece.ok_value.data:
                 break
         if objects.checksum(bytes(data)) != ref.checksum:
-            # A damaged copy must count as none: the other one is whole.
+            # Treated as missing, so that the other copy is read.
             _log.error("Copy of %s on %s is damaged.", ref.name, vm)
             return result.Err(services.StoreError("missing", "damaged"))
         return result.Ok(bytes(data))
 
 
-def _checked(
+def _check_answer(
     answer: result.Result[Any, services.PeerError],
 ) -> result.Result[Any, services.StoreError]:
     if isinstance(answer, result.Err):
--- a/tests/daemon/test_store.py
+++ b/tests/daemon/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the bulk store and of the client that writes to two."""
+"""Tests of the bulk store and of the client that writes to two stores."""
 
 import pathlib
 from typing import Any
@@ -15,11 +15,11 @@
 
 @pytest.fixture
 def fleet(tmp_path: pathlib.Path) -> batchfakes.Fleet:
-    made = batchfakes.Fleet()
+    fleet = batchfakes.Fleet()
     for number in range(3):
         name = f"vm{number}"
-        made.add(name, f"d{number}", str(tmp_path / name))
-    return made
+        fleet.add(name, f"d{number}", str(tmp_path / name))
+    return fleet
 
 
 def put(fleet: batchfakes.Fleet, name: str, data: bytes) -> objects.ObjectRef:
@@ -43,8 +43,8 @@
 def test_damaged_copy_is_not_read(
     fleet: batchfakes.Fleet, tmp_path: pathlib.Path
 ) -> None:
-    # A teacher's result file holds garbage in one line: a disk gave back
-    # other bytes than were written, and the second copy was never asked.
+    # Guards against corrupt results: a disk returns other bytes than were
+    # written, and the reader takes them instead of the second copy.
     ref = put(fleet, "a/0", DATA)
     copy = files(tmp_path / ref.stores[0])[0]
     content = bytearray(copy.read_bytes())
@@ -58,7 +58,7 @@
     assert unread.err_value.kind == "missing"
 
 
-def test_missing_is_only_said_when_each_store_was_asked(
+def test_object_is_missing_only_if_every_store_answers(
     fleet: batchfakes.Fleet,
 ) -> None:
     ref = put(fleet, "a/0", DATA)
@@ -80,7 +80,7 @@
     assert fleet.vms["vm2"].replicas.get(ref).unwrap() == DATA
 
 
-def test_store_that_does_not_answer_is_passed_over(
+def test_store_that_does_not_answer_is_skipped(
     fleet: batchfakes.Fleet,
 ) -> None:
     for silent in ("vm1", "vm2"):
@@ -90,11 +90,11 @@
         assert len(set(ref.stores)) == 2
 
 
-def test_write_cut_off_leaves_nothing(
+def test_interrupted_write_leaves_no_object(
     fleet: batchfakes.Fleet, tmp_path: pathlib.Path
 ) -> None:
-    # After a crash a file shows half of its lines: the writer was lost
-    # between two pieces, and the store published what it had.
+    # Guards against truncated objects: a writer crashes between two pieces,
+    # and the store publishes the pieces that it has.
     half = objects.StorePut(
         "upload1",
         "a/0",
