--- a/packages/ui/bulrushdealui/api.py
+++ b/packages/ui/bulrushdealui/api.py
@@ -1,7 +1,8 @@
-"""Speaks the operators' and the callers' HTTP; see docs/design/interfaces.md.
+"""HTTP client of the operators' and callers' APIs.
 
-Nothing is ever sent twice: the next server is tried only when no connection
-to the one before could be made, so that no byte can have reached it.
+See docs/design/interfaces.md. No request is sent twice: the client tries the
+next server only if it could not connect to the previous one, so that no byte
+can have reached it.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -16,20 +17,20 @@
 _TIMEOUT = urllib3.Timeout(connect=3.0, read=30.0)
 _STREAM_TIMEOUT = urllib3.Timeout(connect=3.0, read=300.0)
 _CHUNK_BYTES = 64 * 1024
-_CONFLICT = 409
-_FIRST_ERROR = 400
+_CONFLICT_STATUS = 409
+_FIRST_ERROR_STATUS = 400
 
 
 class ConflictError(errors.UserError):
-    """Somebody else changed the same thing; both values are in the text."""
+    """Another user changed the same value; the message has both values."""
 
 
 class UnknownOutcomeError(errors.UserError):
-    """A change was sent and its answer lost, so it may be in force."""
+    """The answer to a change was lost, so the change may be in force."""
 
 
 class Answer(NamedTuple):
-    """A whole answer that was no error."""
+    """A complete response without an error status."""
 
     status: int
     body: bytes
@@ -38,7 +39,7 @@
         """Returns the JSON in the body.
 
         Raises:
-            errors.UserError: It is not JSON.
+            errors.UserError: The body is not JSON.
         """
         try:
             return json.loads(self.body)
@@ -49,20 +50,20 @@
 
 
 class Client:
-    """Calls one of several servers with a credential."""
+    """Sends requests with a credential to the first server that connects."""
 
     def __init__(self, servers: Iterable[str], credential: str) -> None:
         self._servers = tuple(servers)
         self._headers = {"Authorization": f"Bearer {credential}"}
-        # The default of urllib3 sends a request again by itself.
+        # By default, urllib3 repeats a request that failed.
         self._pools = urllib3.PoolManager(retries=False)
 
     def read(self, path: str) -> Answer:
-        """Returns what a path holds."""
+        """Sends a GET request and returns the response."""
         return self._call("GET", path, None, {}, is_change=False)
 
     def read_value(self, path: str) -> Any:
-        """Returns the JSON that a path holds."""
+        """Sends a GET request and returns the JSON of the response."""
         return self.read(path).value()
 
     def change(
@@ -72,7 +73,13 @@
         value: Any = None,
         extra_headers: Mapping[str, str] | None = None,
     ) -> Any:
-        """Sends a change with a JSON body and returns the JSON answered."""
+        """Sends a change as JSON and returns the JSON of the response.
+
+        Raises:
+            ConflictError: Another user changed the same value.
+            UnknownOutcomeError: The answer was lost.
+            errors.UserError: The request failed in another way.
+        """
         body = None if value is None else json.dumps(value).encode()
         headers = dict(extra_headers or {})
         if body:
@@ -86,13 +93,13 @@
         body: bytes | Iterable[bytes],
         headers: Mapping[str, str],
     ) -> Any:
-        """Posts a body of any kind and returns the JSON answered."""
+        """Posts a body of any type and returns the JSON of the response."""
         return self._call("POST", path, body, headers, is_change=True).value()
 
     def stream(
         self, method: str, path: str, value: Any = None
     ) -> Iterator[bytes]:
-        """Yields an answer's body as it arrives."""
+        """Yields the chunks of a response's body as they arrive."""
         body = None if value is None else json.dumps(value).encode()
         headers = {"Content-Type": "application/json"} if body else {}
         response = self._open(
@@ -118,7 +125,7 @@
         try:
             return Answer(response.status, response.read())
         except urllib3.exceptions.HTTPError as error:
-            raise _lost(method, path, is_change, error) from error
+            raise _lost_answer_error(method, path, is_change, error) from error
         finally:
             response.release_conn()
 
@@ -131,7 +138,7 @@
         is_change: bool,
         timeout: urllib3.Timeout,
     ) -> urllib3.BaseHTTPResponse:
-        refused = ""
+        last_error = ""
         for server in self._servers:
             try:
                 response = self._pools.request(
@@ -144,19 +151,21 @@
                     redirect=False,
                 )
             except urllib3.exceptions.NewConnectionError as error:
-                refused = f"{server}: {error}"
+                last_error = f"{server}: {error}"
                 continue
             except urllib3.exceptions.LocationParseError as error:
                 raise errors.UserError(f"{server}: {error}") from error
             except urllib3.exceptions.HTTPError as error:
-                raise _lost(method, path, is_change, error) from error
-            if response.status >= _FIRST_ERROR:
-                raise _refused(response)
+                raise _lost_answer_error(
+                    method, path, is_change, error
+                ) from error
+            if response.status >= _FIRST_ERROR_STATUS:
+                raise _status_error(response)
             return response
-        raise errors.UserError(f"No server answers; the last: {refused}")
+        raise errors.UserError(f"No server answers; the last: {last_error}")
 
 
-def _lost(
+def _lost_answer_error(
     method: str, path: str, is_change: bool, error: Exception
 ) -> errors.UserError:
     if not is_change:
@@ -167,7 +176,7 @@
     )
 
 
-def _refused(response: urllib3.BaseHTTPResponse) -> errors.UserError:
+def _status_error(response: urllib3.BaseHTTPResponse) -> errors.UserError:
     try:
         body = response.read()
     except urllib3.exceptions.HTTPError:
@@ -177,17 +186,17 @@
         value = json.loads(body)
     except ValueError:
         value = body.decode(errors="replace").strip()
-    text = _describe(value) or response.reason or "no reason given"
+    text = _format_error_body(value) or response.reason or "no reason given"
     retry_after = response.headers.get("Retry-After")
     if retry_after:
         text += f" (come back after {retry_after} s)"
-    if response.status == _CONFLICT:
+    if response.status == _CONFLICT_STATUS:
         return ConflictError(f"Conflict: {text}")
     return errors.UserError(f"{response.status}: {text}")
 
 
-def _describe(value: Any) -> str:
-    """Returns an error's body in one line; other fields follow the message."""
+def _format_error_body(value: Any) -> str:
+    """Formats an error's body as one line, with the message first."""
     if not isinstance(value, dict):
         return " ".join(str(value).split())
     error = value.get("error", value)
--- a/packages/ui/bulrushdealui/commands/__init__.py
+++ b/packages/ui/bulrushdealui/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module for each kind of thing they act on."""
+"""The commands, in one module for each type of object they act on."""
--- a/packages/ui/bulrushdealui/commands/base.py
+++ b/packages/ui/bulrushdealui/commands/base.py
@@ -1,4 +1,4 @@
-"""What all commands share: the servers, the credential and the errors."""
+"""Base classes of the commands: common options, clients and errors."""
 
 import os
 from typing import Any
@@ -13,7 +13,7 @@
 from bulrushdealui import tables
 
 CONFLICT_EXIT = 1
-MISTAKE_EXIT = 2
+USER_ERROR_EXIT = 2
 
 JSON = option("json", description="Print JSON.")
 CALLER_OPTIONS = [
@@ -47,82 +47,97 @@
     """A command whose `run_command` may raise `errors.UserError`."""
 
     def handle(self) -> int:
-        """Runs the command; a user's mistake is one line and no traceback."""
+        """Runs the command and returns the exit code.
+
+        A user's error is printed as one line without a traceback.
+        """
         try:
             self.run_command()
         except api.ConflictError as error:
-            self.complain(str(error))
+            self.show_on_stderr(str(error))
             return CONFLICT_EXIT
         except (errors.UserError, OSError) as error:
-            self.complain(str(error))
-            return MISTAKE_EXIT
+            self.show_on_stderr(str(error))
+            return USER_ERROR_EXIT
         return 0
 
     def run_command(self) -> None:
-        """Does the work."""
+        """Runs the command; subclasses override it."""
         raise NotImplementedError
 
     def show(self, text: str) -> None:
-        """Prints text as it stands, whatever marks it contains."""
+        """Prints text without interpreting cleo's style tags in it."""
         self.io.write_line(text, type=output.Type.RAW)
 
-    def complain(self, text: str) -> None:
+    def show_on_stderr(self, text: str) -> None:
         """Prints one line to standard error."""
         self.io.write_error_line(text, type=output.Type.RAW)
 
     def show_rows(
         self, value: Any, name: str, columns: tuple[str, ...] = ()
     ) -> None:
-        """Prints the rows that stand under `name`, or all as JSON."""
+        """Prints the rows in field `name` as a table, or the value as JSON."""
         if self.option("json"):
             self.show(tables.as_json(value))
             return
         self.show(tables.as_text(tables.rows_of(value, name), columns))
 
     def show_fields(self, value: Any) -> None:
-        """Prints one object."""
+        """Prints one object with a line for each field, or as JSON."""
         if self.option("json") or not isinstance(value, dict):
             self.show(tables.as_json(value))
             return
         self.show(tables.as_fields(value))
 
     def number(self, name: str, text: str) -> float:
-        """Returns a number that the user wrote."""
+        """Parses a number from the user's arguments.
+
+        Args:
+            name: The argument's name, for the error message.
+            text: The argument's value.
+
+        Raises:
+            errors.UserError: The text is not a number.
+        """
         try:
             return float(text)
         except ValueError:
             raise errors.UserError(f"{name}: {text!r} is no number.") from None
 
     def setting(self, name: str, variable: str) -> str:
-        """Returns a flag's value, else its environment variable's."""
+        """Returns a flag's value, or else that of an environment variable.
+
+        Raises:
+            errors.UserError: Neither is set.
+        """
         text = self.option(name) or os.environ.get(variable, "")
         if not text:
             raise errors.UserError(f"--{name} or {variable} is required.")
         return str(text)
 
     def caller_client(self) -> api.Client:
-        """Returns a client of the callers' address."""
+        """Returns a client of the callers' API, with a customer's key."""
         servers = self.setting("callers", "BULRUSHDEAL_CALLERS")
         key = self.setting("key", "BULRUSHDEAL_KEY")
         return api.Client(servers.split(","), key)
 
 
 class OperatorCommand(Command):
-    """A command that speaks to the operators' address."""
+    """A command that calls the operators' API."""
 
     def configure(self) -> None:
-        """Adds the options that all these commands have."""
+        """Adds the options common to the operators' commands."""
         super().configure()
-        for common in _OPERATOR_OPTIONS:
-            self.definition.add_option(common)
+        for operator_option in _OPERATOR_OPTIONS:
+            self.definition.add_option(operator_option)
 
     def client(self) -> api.Client:
-        """Returns a client of the operators' address."""
+        """Returns a client of the operators' API, with their credential."""
         servers = self.setting("server", "BULRUSHDEAL_SERVER")
         token = self.setting("token", "BULRUSHDEAL_OPERATOR_TOKEN")
         return api.Client(servers.split(","), token)
 
 
 def quote(text: str) -> str:
-    """Returns a name as one segment of a path."""
+    """Percent-encodes a name as one segment of a path."""
     return parse.quote(text, safe="")
--- a/packages/ui/bulrushdealui/commands/chat.py
+++ b/packages/ui/bulrushdealui/commands/chat.py
@@ -1,4 +1,4 @@
-"""`chat`."""
+"""The command `chat`."""
 
 import codecs
 from collections.abc import Iterable, Iterator
@@ -11,12 +11,12 @@
 from bulrushdeal import errors
 from bulrushdealui.commands import base
 
-_DATA = "data: "
-_LAST = "[DONE]"
+_DATA_PREFIX = "data: "
+_END_MARKER = "[DONE]"
 
 
 class ChatCommand(base.Command):
-    """Asks a model one question as a customer does."""
+    """Sends a model one question through the callers' API."""
 
     name = "chat"
     description = "Ask a model one question and print the answer as it comes."
@@ -32,18 +32,18 @@
         """See `base.Command`."""
         if not self.option("model"):
             raise errors.UserError("--model is required.")
-        question = {
+        request = {
             "model": self.option("model"),
             "messages": [{"role": "user", "content": self.argument("text")}],
             "stream": True,
         }
         if self.option("max-tokens"):
-            question["max_tokens"] = int(
+            request["max_tokens"] = int(
                 self.number("--max-tokens", self.option("max-tokens"))
             )
         client = self.caller_client()
-        pieces = client.stream("POST", "/v1/chat/completions", question)
-        for event in read_events(pieces):
+        chunks = client.stream("POST", "/v1/chat/completions", request)
+        for event in read_events(chunks):
             if self.option("json"):
                 self.show(event)
                 continue
@@ -53,29 +53,29 @@
             self.show("")
 
 
-def read_events(pieces: Iterable[bytes]) -> Iterator[str]:
-    """Yields the data of each server-sent event up to the last.
+def read_events(chunks: Iterable[bytes]) -> Iterator[str]:
+    """Yields the data of each server-sent event up to the end marker.
 
     Raises:
-        errors.UserError: The answer ended before its end was marked.
+        errors.UserError: The answer ended without the end marker.
     """
     decode = codecs.getincrementaldecoder("utf-8")("replace").decode
     rest = ""
-    for piece in pieces:
-        *lines, rest = (rest + decode(piece)).split("\n")
+    for chunk in chunks:
+        *lines, rest = (rest + decode(chunk)).split("\n")
         for line in lines:
             text = line.rstrip("\r")
-            if not text.startswith(_DATA):
+            if not text.startswith(_DATA_PREFIX):
                 continue
-            data = text.removeprefix(_DATA)
-            if data == _LAST:
+            data = text.removeprefix(_DATA_PREFIX)
+            if data == _END_MARKER:
                 return
             yield data
     raise errors.UserError("The answer broke off before its end.")
 
 
 def token_of(event: str) -> str:
-    """Returns the text that one event adds to the answer.
+    """Returns the text that an event adds to the answer.
 
     Raises:
         errors.UserError: The event carries an error.
--- a/packages/ui/bulrushdealui/commands/config.py
+++ b/packages/ui/bulrushdealui/commands/config.py
@@ -1,4 +1,4 @@
-"""`config status`."""
+"""The command `config status`."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class StatusCommand(base.OperatorCommand):
-    """Shows which revision is stored, and in force on which VMs."""
+    """Shows the revision stored and the revision in force on each VM."""
 
     name = "config status"
     description = "Show the revision stored and those in force on each VM."
@@ -18,12 +18,12 @@
         if self.option("json") or not isinstance(value, dict):
             self.show(tables.as_json(value))
             return
-        single = {
+        scalars = {
             name: item
             for name, item in value.items()
             if not isinstance(item, list)
         }
-        self.show(tables.as_fields(single))
+        self.show(tables.as_fields(scalars))
         for item in value.values():
             if isinstance(item, list):
                 self.show(tables.as_text(item))
--- a/packages/ui/bulrushdealui/commands/customer.py
+++ b/packages/ui/bulrushdealui/commands/customer.py
@@ -1,4 +1,4 @@
-"""`customer list`, `customer create` and `customer delete`."""
+"""The commands `customer list`, `customer create` and `customer delete`."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 class ListCommand(base.OperatorCommand):
-    """Lists the rows of the customers' table."""
+    """Lists the customers with their weights and limits."""
 
     name = "customer list"
     description = "List the customers with their weights and limits."
@@ -24,7 +24,7 @@
 
 
 class CreateCommand(base.OperatorCommand):
-    """Adds a row."""
+    """Creates a customer."""
 
     name = "customer create"
     description = "Create a customer; limits not given take their defaults."
@@ -42,14 +42,14 @@
             text = self.option(column.replace("_", "-"))
             if text is not None:
                 row[column] = self.number(column, text)
-        # Whoever creates must not replace a row that is there already.
+        # Makes the server refuse to replace an existing row.
         row["expected_revision"] = 0
         path = f"/v1/customers/{base.quote(name)}"
         self.show_fields(self.client().change("PUT", path, row))
 
 
 class DeleteCommand(base.OperatorCommand):
-    """Deletes a row."""
+    """Deletes a customer."""
 
     name = "customer delete"
     description = "Delete a customer; its keys stop working."
--- a/packages/ui/bulrushdealui/commands/dump.py
+++ b/packages/ui/bulrushdealui/commands/dump.py
@@ -1,11 +1,11 @@
-"""`dump`."""
+"""The command `dump`."""
 
 from bulrushdealui import tables
 from bulrushdealui.commands import base
 
 
 class DumpCommand(base.OperatorCommand):
-    """Prints the state of a daemon."""
+    """Prints the state of each service of one daemon as JSON."""
 
     name = "dump"
     description = "Print the state of each service of one daemon as JSON."
--- a/packages/ui/bulrushdealui/commands/explain.py
+++ b/packages/ui/bulrushdealui/commands/explain.py
@@ -1,4 +1,4 @@
-"""`explain`."""
+"""The command `explain`."""
 
 from collections.abc import Iterator
 import json
@@ -10,20 +10,28 @@
 from bulrushdeal import errors
 from bulrushdealui.commands import base
 
-# Fields that hold an id which a person may ask for.
-_IDS = frozenset({"request", "job", "item", "upstream", "run", "key"})
+# Log fields whose value is an id that `explain` searches for.
+_ID_FIELDS = frozenset({"request", "job", "item", "upstream", "run", "key"})
 # Shown at the beginning of a line, in this order.
-_FIRST = ("time_s", "vm", "level", "part", "event")
+_LEADING_FIELDS = ("time_s", "vm", "level", "part", "event")
 
 
 class _Line(NamedTuple):
+    """A log line; lines sort by time and then by line number.
+
+    Attributes:
+        time_s: The line's time.
+        number: The line's index in its file.
+        row: The line's fields.
+    """
+
     time_s: float
     number: int
     row: dict[str, Any]
 
 
 class ExplainCommand(base.Command):
-    """Shows what became of one request, job or item."""
+    """Shows the log lines of one request, job or item in order of time."""
 
     name = "explain"
     description = "Show the log lines of one id, from the logs of many VMs."
@@ -37,30 +45,32 @@
         found = sorted(
             line
             for name in self.argument("files")
-            for line in _lines(pathlib.Path(name), self.argument("id"))
+            for line in _matching_lines(pathlib.Path(name), self.argument("id"))
         )
         if not found:
-            raise errors.UserError(f"No line names {self.argument('id')}.")
+            raise errors.UserError(
+                f"No log line contains the id {self.argument('id')}."
+            )
         for line in found:
-            self.show(_text(line.row))
+            self.show(_format_row(line.row))
 
 
-def _lines(path: pathlib.Path, wanted: str) -> Iterator[_Line]:
+def _matching_lines(path: pathlib.Path, wanted: str) -> Iterator[_Line]:
     try:
-        with path.open(encoding="utf-8", errors="replace") as rows:
-            for number, text in enumerate(rows):
-                row = _row(text)
-                if row is not None and _names(row, wanted):
+        with path.open(encoding="utf-8", errors="replace") as file:
+            for number, text in enumerate(file):
+                row = _parse_event(text)
+                if row is not None and _mentions(row, wanted):
                     yield _Line(float(row["time_s"]), number, row)
     except OSError as error:
         raise errors.UserError(f"{path}: {error.strerror}") from error
 
 
-def _row(text: str) -> dict[str, Any] | None:
-    """Returns a line's object; a log may hold other lines besides."""
-    at = text.find("{")
+def _parse_event(text: str) -> dict[str, Any] | None:
+    """Parses an event line; returns `None` for any other line of the log."""
+    start = text.find("{")
     try:
-        row = json.loads(text[at:]) if at >= 0 else None
+        row = json.loads(text[start:]) if start >= 0 else None
     except ValueError:
         return None
     if not isinstance(row, dict) or "event" not in row:
@@ -68,17 +78,19 @@
     return row if isinstance(row.get("time_s"), float) else None
 
 
-def _names(row: dict[str, Any], wanted: str) -> bool:
+def _mentions(row: dict[str, Any], wanted: str) -> bool:
     return any(
         value == wanted or (isinstance(value, list) and wanted in value)
         for name, value in row.items()
-        if name in _IDS or name == "tried"
+        if name in _ID_FIELDS or name == "tried"
     )
 
 
-def _text(row: dict[str, Any]) -> str:
-    first = " ".join(str(row.get(name, "-")) for name in _FIRST)
+def _format_row(row: dict[str, Any]) -> str:
+    leading = " ".join(str(row.get(name, "-")) for name in _LEADING_FIELDS)
     rest = " ".join(
-        f"{name}={value}" for name, value in row.items() if name not in _FIRST
+        f"{name}={value}"
+        for name, value in row.items()
+        if name not in _LEADING_FIELDS
     )
-    return f"{first}: {rest}"
+    return f"{leading}: {rest}"
--- a/packages/ui/bulrushdealui/commands/job.py
+++ b/packages/ui/bulrushdealui/commands/job.py
@@ -1,4 +1,7 @@
-"""`job list`, `show` and `cancel` for operators; `submit` and `results`."""
+"""The commands `job list`, `show`, `cancel`, `submit` and `results`.
+
+Operators use the first three; customers use `submit` and `results`.
+"""
 
 from collections.abc import Iterator
 import pathlib
@@ -16,11 +19,11 @@
 from bulrushdealui import tables
 from bulrushdealui.commands import base
 
-_FINISHED = ("completed", "failed", "cancelled", "expired")
+_FINAL_STATUSES = ("completed", "failed", "cancelled", "expired")
 _POLL_S = 1.0
 _PAGE_JOBS = 100
 _CHUNK_BYTES = 256 * 1024
-_ID = argument("id", description="The job's id.")
+_ID_ARGUMENT = argument("id", description="The job's id.")
 
 
 class ListCommand(base.OperatorCommand):
@@ -35,7 +38,7 @@
         if self.option("json"):
             self.show(tables.as_json({"jobs": jobs}))
             return
-        self.show(tables.as_text([_line(job) for job in jobs]))
+        self.show(tables.as_text([_summary_row(job) for job in jobs]))
 
 
 class ShowCommand(base.OperatorCommand):
@@ -43,7 +46,7 @@
 
     name = "job show"
     description = "Show one job and how far it has come."
-    arguments = [_ID]
+    arguments = [_ID_ARGUMENT]
     options = [option("follow", description="Show it until it has finished.")]
 
     def run_command(self) -> None:
@@ -54,9 +57,9 @@
         self.show_fields(value)
         while self.option("follow") and not _has_finished(value):
             time.sleep(_POLL_S)
-            before, value = value, client.read_value(path)
-            if value != before:
-                self.show(tables.as_text([_line(value)]))
+            previous, value = value, client.read_value(path)
+            if value != previous:
+                self.show(tables.as_text([_summary_row(value)]))
 
 
 class CancelCommand(base.OperatorCommand):
@@ -64,7 +67,7 @@
 
     name = "job cancel"
     description = "Cancel a job; finished items keep their results."
-    arguments = [_ID]
+    arguments = [_ID_ARGUMENT]
 
     def run_command(self) -> None:
         """See `base.Command`."""
@@ -73,7 +76,7 @@
 
 
 class SubmitCommand(base.Command):
-    """Submits a file as a customer does."""
+    """Submits a file of items through the callers' API."""
 
     name = "job submit"
     description = "Submit a JSONL file of items, with a customer's key."
@@ -88,7 +91,7 @@
         ),
         option(
             "idempotency-key",
-            description="Sent again with the same key, the job is made once.",
+            description="A retry with the same key creates no second job.",
             flag=False,
         ),
         base.JSON,
@@ -99,16 +102,17 @@
         client = self.caller_client()
         path = pathlib.Path(self.argument("file"))
         boundary = secrets.token_hex(16)
-        head, tail = _multipart(boundary, path.name)
+        head, tail = _multipart_head_and_tail(boundary, path.name)
         size_bytes = len(head) + path.stat().st_size + len(tail)
         idempotency_key = self.option("idempotency-key") or secrets.token_hex(
             16
         )
-        # Before anything is sent: who has to repeat it needs the key.
-        self.complain(f"Idempotency key: {idempotency_key}")
+        # Printed before anything is sent, because the user needs the key to
+        # retry a submission that failed.
+        self.show_on_stderr(f"Idempotency key: {idempotency_key}")
         stored = client.send(
             "/v1/files",
-            _pieces(head, path, tail),
+            _upload_chunks(head, path, tail),
             {
                 "Content-Type": f"multipart/form-data; boundary={boundary}",
                 "Content-Length": str(size_bytes),
@@ -129,16 +133,16 @@
 
 
 class ResultsCommand(base.Command):
-    """Reads a job's results as a customer does."""
+    """Reads a job's results through the callers' API."""
 
     name = "job results"
     description = "Write a finished job's results as JSONL."
-    arguments = [_ID]
+    arguments = [_ID_ARGUMENT]
     options = [
         *base.CALLER_OPTIONS,
-        option("output", description="A file for them.", flag=False),
+        option("output", description="The file to write to.", flag=False),
         option("wait", description="Wait until the job has finished."),
-        option("errors", description="Those items that failed, instead."),
+        option("errors", description="Write the failed items instead."),
         base.JSON,
     ]
 
@@ -156,18 +160,18 @@
             raise errors.UserError(
                 f"The job is {job.get('status')} and has no such results."
             )
-        pieces = client.stream("GET", f"/v1/files/{file_id}/content")
-        self._write(pieces)
+        chunks = client.stream("GET", f"/v1/files/{file_id}/content")
+        self._write(chunks)
 
-    def _write(self, pieces: Iterator[bytes]) -> None:
+    def _write(self, chunks: Iterator[bytes]) -> None:
         if not self.option("output"):
-            for piece in pieces:
-                sys.stdout.buffer.write(piece)
+            for chunk in chunks:
+                sys.stdout.buffer.write(chunk)
             sys.stdout.buffer.flush()
             return
         with pathlib.Path(self.option("output")).open("wb") as file:
-            for piece in pieces:
-                file.write(piece)
+            for chunk in chunks:
+                file.write(chunk)
 
 
 def _all_jobs(client: api.Client) -> Iterator[tables.Row]:
@@ -180,7 +184,7 @@
         query["after"] = value["last_id"]
 
 
-def _line(job: tables.Row) -> tables.Row:
+def _summary_row(job: tables.Row) -> tables.Row:
     counts = job.get("request_counts") or {}
     return {
         "id": job.get("id"),
@@ -195,10 +199,10 @@
 def _has_finished(job: Any) -> bool:
     if not isinstance(job, dict):
         return True
-    return job.get("status", job.get("state")) in _FINISHED
+    return job.get("status", job.get("state")) in _FINAL_STATUSES
 
 
-def _multipart(boundary: str, name: str) -> tuple[bytes, bytes]:
+def _multipart_head_and_tail(boundary: str, name: str) -> tuple[bytes, bytes]:
     name = name.replace('"', "_")
     head = (
         f"--{boundary}\r\n"
@@ -210,9 +214,11 @@
     return head.encode(), f"\r\n--{boundary}--\r\n".encode()
 
 
-def _pieces(head: bytes, path: pathlib.Path, tail: bytes) -> Iterator[bytes]:
+def _upload_chunks(
+    head: bytes, path: pathlib.Path, tail: bytes
+) -> Iterator[bytes]:
     yield head
     with path.open("rb") as file:
-        while piece := file.read(_CHUNK_BYTES):
-            yield piece
+        while chunk := file.read(_CHUNK_BYTES):
+            yield chunk
     yield tail
--- a/packages/ui/bulrushdealui/commands/key.py
+++ b/packages/ui/bulrushdealui/commands/key.py
@@ -1,4 +1,4 @@
-"""`key create`, `key list` and `key withdraw`."""
+"""The commands `key create`, `key list` and `key withdraw`."""
 
 from cleo.helpers import argument
 from cleo.helpers import option
@@ -7,12 +7,14 @@
 
 
 class CreateCommand(base.OperatorCommand):
-    """Issues a key and shows it this once."""
+    """Issues a key and prints it; it cannot be shown again."""
 
     name = "key create"
     description = "Issue a key to a customer; it is shown only this once."
     arguments = [argument("customer", description="The customer's name.")]
-    options = [option("label", description="A name to tell it by.", flag=False)]
+    options = [
+        option("label", description="A name to recognise it by.", flag=False)
+    ]
 
     def run_command(self) -> None:
         """See `base.Command`."""
@@ -26,7 +28,7 @@
 
 
 class ListCommand(base.OperatorCommand):
-    """Lists keys by the beginning of their hash."""
+    """Lists the keys, each by its hash."""
 
     name = "key list"
     description = "List the keys, each by its hash."
@@ -38,7 +40,7 @@
 
 
 class WithdrawCommand(base.OperatorCommand):
-    """Withdraws a key for good."""
+    """Withdraws a key permanently."""
 
     name = "key withdraw"
     description = "Withdraw a key for good; its open streams end too."
--- a/packages/ui/bulrushdealui/commands/order.py
+++ b/packages/ui/bulrushdealui/commands/order.py
@@ -1,4 +1,4 @@
-"""`upstream load`, `unload`, `adapter`, `role` and `orders`."""
+"""The commands `upstream load`, `unload`, `adapter`, `role` and `orders`."""
 
 from typing import Any
 
@@ -8,9 +8,11 @@
 from bulrushdeal import errors
 from bulrushdealui.commands import base
 
-_UPSTREAM = argument("upstream", description="The engine.")
-# Every command has a `--version` already, which tells the program's.
-_VERSION = option("model-version", description="Which weights.", flag=False)
+_UPSTREAM_ARGUMENT = argument("upstream", description="The engine.")
+# Not `--version`, which cleo gives every command for the program's version.
+_VERSION_OPTION = option(
+    "model-version", description="Which weights.", flag=False
+)
 _COLUMNS = (
     "upstream",
     "number",
@@ -24,65 +26,74 @@
 )
 
 
-class _Order(base.OperatorCommand):
-    """Sends one order; `upstream orders` tells what becomes of it."""
+class _OrderCommand(base.OperatorCommand):
+    """Base of the commands that send an order to an engine.
+
+    `upstream orders` shows the state of the orders sent.
+    """
 
-    def order(self, **fields: str | None) -> None:
-        """Sends the fields that were given."""
+    def send_order(self, **fields: str | None) -> None:
+        """Sends an order with those of the fields that are not empty."""
         upstream = base.quote(self.argument("upstream"))
         body = {name: value for name, value in fields.items() if value}
         path = f"/v1/upstreams/{upstream}/orders"
         self.show_fields(self.client().change("POST", path, body))
 
 
-class LoadCommand(_Order):
-    """Loads a model, or another version of it."""
+class LoadCommand(_OrderCommand):
+    """Orders an engine to load a model, or another version of it."""
 
     name = "upstream load"
     description = "Order an engine to load a model, or another version."
-    arguments = [_UPSTREAM, argument("model", description="The model.")]
-    options = [_VERSION]
+    arguments = [
+        _UPSTREAM_ARGUMENT,
+        argument("model", description="The model."),
+    ]
+    options = [_VERSION_OPTION]
 
     def run_command(self) -> None:
         """See `base.Command`."""
-        self.order(
+        self.send_order(
             action="load",
             model=self.argument("model"),
             version=self.option("model-version"),
         )
 
 
-class UnloadCommand(_Order):
-    """Unloads a model or an adapter."""
+class UnloadCommand(_OrderCommand):
+    """Orders an engine to unload a model or an adapter."""
 
     name = "upstream unload"
     description = "Order an engine to drop a model or adapter, once drained."
-    arguments = [_UPSTREAM, argument("model", description="The model.")]
+    arguments = [
+        _UPSTREAM_ARGUMENT,
+        argument("model", description="The model."),
+    ]
 
     def run_command(self) -> None:
         """See `base.Command`."""
-        self.order(action="unload", model=self.argument("model"))
+        self.send_order(action="unload", model=self.argument("model"))
 
 
-class AdapterCommand(_Order):
-    """Loads an adapter beside its model."""
+class AdapterCommand(_OrderCommand):
+    """Orders an engine to load an adapter in addition to its model."""
 
     name = "upstream adapter"
     description = "Order an engine to load an adapter beside its model."
     arguments = [
-        _UPSTREAM,
+        _UPSTREAM_ARGUMENT,
         argument("adapter", description="The name that callers ask for."),
     ]
     options = [
         option("base", description="The model it belongs to.", flag=False),
-        _VERSION,
+        _VERSION_OPTION,
     ]
 
     def run_command(self) -> None:
         """See `base.Command`."""
         if not self.option("base"):
             raise errors.UserError("--base is required.")
-        self.order(
+        self.send_order(
             action="load",
             model=self.argument("adapter"),
             base=self.option("base"),
@@ -90,20 +101,23 @@
         )
 
 
-class RoleCommand(_Order):
-    """Changes an engine's role."""
+class RoleCommand(_OrderCommand):
+    """Orders an engine to change its role."""
 
     name = "upstream role"
     description = "Order an engine to be mixed, prefill or decode."
-    arguments = [_UPSTREAM, argument("role", description="Its new role.")]
+    arguments = [
+        _UPSTREAM_ARGUMENT,
+        argument("role", description="Its new role."),
+    ]
 
     def run_command(self) -> None:
         """See `base.Command`."""
-        self.order(action="role", role=self.argument("role"))
+        self.send_order(action="role", role=self.argument("role"))
 
 
 class OrdersCommand(base.OperatorCommand):
-    """Lists orders and what became of them."""
+    """Lists orders with their states."""
 
     name = "upstream orders"
     description = "List the orders to one engine, or to all."
--- a/packages/ui/bulrushdealui/commands/table.py
+++ b/packages/ui/bulrushdealui/commands/table.py
@@ -1,4 +1,4 @@
-"""`table show`, `table set`, `table export` and `table import`."""
+"""The commands `table show`, `table set`, `table export` and `table import`."""
 
 import pathlib
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class ShowCommand(base.OperatorCommand):
-    """Shows the table with the revision that an edit is checked against."""
+    """Shows the table, with the revision of each row for later edits."""
 
     name = "table show"
     description = "Show the table of weights and limits."
@@ -28,7 +28,7 @@
 
 
 class SetCommand(base.OperatorCommand):
-    """Changes one cell, unless somebody else changed it meanwhile."""
+    """Changes one cell, unless another user changed it in the meantime."""
 
     name = "table set"
     description = "Change one cell of the table."
@@ -57,10 +57,10 @@
             )
         value = self.number(column, self.argument("value"))
         client = self.client()
-        row = _row(client, name)
+        row = _find_row(client, name)
         edit = {"column": column, "value": value}
         if self.option("revision") is not None:
-            edit["expected_revision"] = _revision(self.option("revision"))
+            edit["expected_revision"] = _parse_revision(self.option("revision"))
         else:
             edit["expected_revision"] = row.get("revision", 0)
             edit["expected_value"] = row[column]
@@ -86,7 +86,7 @@
 
 
 class ImportCommand(base.OperatorCommand):
-    """Reads the table from a file."""
+    """Changes the table to the content of a file."""
 
     name = "table import"
     description = "Change the table to what a CSV file says."
@@ -101,11 +101,13 @@
         if self.option("json"):
             self.show(tables.as_json(value))
             return
-        self.show(tables.as_text(_changes(tables.rows_of(value, "changed"))))
+        self.show(
+            tables.as_text(_cell_changes(tables.rows_of(value, "changed")))
+        )
 
 
-def _changes(rows: list[tables.Row]) -> list[tables.Row]:
-    """Returns a line for each cell that changes."""
+def _cell_changes(rows: list[tables.Row]) -> list[tables.Row]:
+    """Returns a row for each cell that changes."""
     changes: list[tables.Row] = []
     for row in rows:
         old = row.get("old") or {}
@@ -123,7 +125,7 @@
     return changes
 
 
-def _row(client: api.Client, name: str) -> tables.Row:
+def _find_row(client: api.Client, name: str) -> tables.Row:
     value = client.read_value("/v1/customers")
     for row in tables.rows_of(value, "customers"):
         if row.get("customer") == name:
@@ -131,7 +133,7 @@
     raise errors.UserError(f"{name}: no such customer.")
 
 
-def _revision(text: str) -> Any:
+def _parse_revision(text: str) -> Any:
     try:
         return int(text)
     except ValueError:
--- a/packages/ui/bulrushdealui/commands/upstream.py
+++ b/packages/ui/bulrushdealui/commands/upstream.py
@@ -1,4 +1,4 @@
-"""`upstream list`, `upstream add` and `upstream remove`."""
+"""The commands `upstream list`, `upstream add` and `upstream remove`."""
 
 from cleo.helpers import argument
 from cleo.helpers import option
@@ -26,7 +26,7 @@
 
 
 class AddCommand(base.OperatorCommand):
-    """Adds an upstream."""
+    """Adds an upstream, or replaces its row."""
 
     name = "upstream add"
     description = "Add an engine or a plain service, or replace its row."
@@ -39,16 +39,19 @@
         option("models", description="NAME[,NAME...] served.", flag=False),
         option("service", description="A plain service's name.", flag=False),
         option("slots", description="Requests run at once.", flag=False),
-        option("checks-fencing", description="It refuses old orders."),
+        option(
+            "checks-fencing",
+            description="It refuses orders with an old number.",
+        ),
     ]
 
     def run_command(self) -> None:
         """See `base.Command`."""
-        row = self._row()
+        row = self._row_from_options()
         path = f"/v1/upstreams/{base.quote(row.upstream)}"
         self.show_fields(self.client().change("PUT", path, row._asdict()))
 
-    def _row(self) -> records.Upstream:
+    def _row_from_options(self) -> records.Upstream:
         kind = _KINDS.get(self.option("kind") or "engine")
         if kind is None:
             raise errors.UserError(f"--kind: allowed: {', '.join(_KINDS)}.")
--- a/packages/ui/bulrushdealui/commands/usage.py
+++ b/packages/ui/bulrushdealui/commands/usage.py
@@ -1,4 +1,4 @@
-"""`usage`."""
+"""The command `usage`."""
 
 import datetime
 from urllib import parse
@@ -21,7 +21,7 @@
 
 
 class UsageCommand(base.OperatorCommand):
-    """Reports what the system did."""
+    """Reports requests and tokens by customer, class and model."""
 
     name = "usage"
     description = "Report requests and tokens by customer, class and model."
@@ -43,7 +43,7 @@
             query["customer"] = self.option("customer")
         for name in ("from", "to"):
             if self.option(name):
-                seconds = _seconds(name, self.option(name))
+                seconds = _parse_time_s(name, self.option(name))
                 query[f"{name}_s"] = f"{seconds:.0f}"
         path = "/v1/usage?" + parse.urlencode(query)
         value = self.client().read_value(path)
@@ -59,18 +59,18 @@
         self.show(tables.as_text(tables.rows_of(value, "upstreams")))
         self.show("\nHow fresh each VM's sums are:")
         sources = tables.rows_of(value, "sources")
-        self.show(tables.as_text([_with_time(row) for row in sources]))
+        self.show(tables.as_text([_with_time_text(row) for row in sources]))
         for note in value.get("notes", []):
             self.show(f"Note: {note}")
 
 
-def _with_time(row: tables.Row) -> tables.Row:
+def _with_time_text(row: tables.Row) -> tables.Row:
     wall_s = row.get("sums_until_s")
-    others = {name: row[name] for name in row if name != "sums_until_s"}
-    return {**others, "sums_until": tables.time_text(wall_s)}
+    other_fields = {name: row[name] for name in row if name != "sums_until_s"}
+    return {**other_fields, "sums_until": tables.time_text(wall_s)}
 
 
-def _seconds(name: str, text: str) -> float:
+def _parse_time_s(name: str, text: str) -> float:
     try:
         return float(text)
     except ValueError:
--- a/packages/ui/bulrushdealui/commands/vm.py
+++ b/packages/ui/bulrushdealui/commands/vm.py
@@ -1,10 +1,10 @@
-"""`vm list`."""
+"""The command `vm list`."""
 
 from bulrushdealui.commands import base
 
 
 class ListCommand(base.OperatorCommand):
-    """Lists the VMs."""
+    """Lists the VMs that the platform lists."""
 
     name = "vm list"
     description = "List the VMs as the platform lists them."
--- a/packages/ui/bulrushdealui/main.py
+++ b/packages/ui/bulrushdealui/main.py
@@ -1,4 +1,4 @@
-"""The program `bulrushdeal`: finds the command and runs it."""
+"""Entry point of the program `bulrushdeal`."""
 
 import sys
 
@@ -55,8 +55,8 @@
 def build() -> application.Application:
     """Returns the application with all its commands."""
     app = application.Application("bulrushdeal", "0.1.0")
-    for kind in COMMANDS:
-        app.add(kind())
+    for command_class in COMMANDS:
+        app.add(command_class())
     app.auto_exits(False)
     app.catch_exceptions(False)
     return app
@@ -70,11 +70,12 @@
 def run() -> int:
     """Runs the command and returns the exit code."""
     if sys.argv[1:] in (["--help"], ["-h"]):
-        # The library would explain its command `list` instead of listing.
+        # Otherwise cleo shows the help of its `list` command instead of the
+        # list of commands.
         sys.argv[1:] = ["list"]
     try:
         return build().run()
     except exceptions.CleoError as error:
         text = " ".join(str(error).split())
         print(text, file=sys.stderr)
-        return base.MISTAKE_EXIT
+        return base.USER_ERROR_EXIT
--- a/packages/ui/bulrushdealui/tables.py
+++ b/packages/ui/bulrushdealui/tables.py
@@ -1,4 +1,4 @@
-"""Prints rows for people, as JSON or as CSV."""
+"""Formats rows as text, JSON or CSV."""
 
 from collections.abc import Mapping, Sequence
 import csv
@@ -13,10 +13,14 @@
 
 
 def rows_of(value: Any, name: str) -> list[Row]:
-    """Returns the rows in an answer, which stand under `name` in it.
+    """Returns the rows of an answer.
+
+    Args:
+        value: The decoded answer: an object, or the list of rows itself.
+        name: The object's field that contains the rows.
 
     Raises:
-        errors.UserError: The answer has another shape.
+        errors.UserError: The answer contains no such list.
     """
     rows = value.get(name) if isinstance(value, dict) else value
     if not isinstance(rows, list):
@@ -25,16 +29,23 @@
 
 
 def as_json(value: Any) -> str:
-    """Returns a value as indented JSON."""
+    """Formats a value as indented JSON."""
     return json.dumps(value, indent=2)
 
 
 def as_text(rows: Sequence[Row], columns: Sequence[str] = ()) -> str:
-    """Returns rows as columns of equal width, with a heading."""
+    """Formats rows as a table with aligned columns and a heading.
+
+    Args:
+        rows: The rows.
+        columns: The columns to show; all that occur in the rows if empty.
+    """
     if not rows:
         return "(none)"
-    names = list(columns) or _columns(rows)
-    cells = [names] + [[_cell(row.get(name)) for name in names] for row in rows]
+    names = list(columns) or _column_names(rows)
+    cells = [names] + [
+        [_format_cell(row.get(name)) for name in names] for row in rows
+    ]
     widths = [
         max(len(line[index]) for line in cells) for index in range(len(names))
     ]
@@ -47,15 +58,16 @@
 
 
 def as_fields(value: Row) -> str:
-    """Returns one row as a line for each field."""
+    """Formats one row with a line for each field."""
     width = max((len(name) for name in value), default=0)
     return "\n".join(
-        f"{name.ljust(width)}  {_cell(item)}" for name, item in value.items()
+        f"{name.ljust(width)}  {_format_cell(item)}"
+        for name, item in value.items()
     )
 
 
 def as_csv(rows: Sequence[Row], columns: Sequence[str]) -> str:
-    """Returns rows as CSV with a heading."""
+    """Formats the given columns of rows as CSV with a heading."""
     text = io.StringIO()
     writer = csv.DictWriter(
         text, columns, extrasaction="ignore", lineterminator="\n"
@@ -66,27 +78,29 @@
 
 
 def time_text(wall_s: Any) -> str:
-    """Returns seconds since the epoch as a time in UTC."""
+    """Formats seconds since the epoch as a time in UTC."""
     if not wall_s:
         return ""
     moment = datetime.datetime.fromtimestamp(wall_s, datetime.UTC)
     return f"{moment:%Y-%m-%dT%H:%M:%SZ}"
 
 
-def _columns(rows: Sequence[Row]) -> list[str]:
+def _column_names(rows: Sequence[Row]) -> list[str]:
     names: dict[str, None] = {}
     for row in rows:
         names.update(dict.fromkeys(row))
     return list(names)
 
 
-def _cell(item: Any) -> str:
+def _format_cell(item: Any) -> str:
     if item is None or item == "":
         return "-"
     if isinstance(item, float):
         return f"{item:.12g}"
     if isinstance(item, list):
-        return ",".join(_cell(part) for part in item) or "-"
+        return ",".join(_format_cell(part) for part in item) or "-"
     if isinstance(item, dict):
-        return " ".join(f"{name}={_cell(part)}" for name, part in item.items())
+        return " ".join(
+            f"{name}={_format_cell(part)}" for name, part in item.items()
+        )
     return str(item)
--- a/tests/ui/test_commands.py
+++ b/tests/ui/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line against a server of set answers."""
+"""Tests of the command line against a server with preset answers."""
 
 from collections.abc import Iterator
 import json
@@ -42,7 +42,7 @@
     capsys: pytest.CaptureFixture[str],
     word: str,
 ) -> None:
-    # A newcomer asks for help and is told of a command `list` alone.
+    # Guards against help that shows only the usage of cleo's command `list`.
     assert run(monkeypatch, word) == 0
     assert "customer create" in capsys.readouterr().out
 
@@ -60,14 +60,14 @@
     assert routes.seen[0].credential == "Bearer secret"
 
 
-def test_edit_sends_what_was_seen_and_conflict_shows_both_values(
+def test_edit_sends_expected_value_and_conflict_shows_both_values(
     routes: routes_lib.Routes,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # Two operators look at the same cell, and the other one writes first.
-    # The slower one sees a conflict with both values and no traceback, and
-    # scripts see exit code 1. Cause: edits are compared and then set.
+    # Two operators read the same cell, and the other one writes first. The
+    # edit must be refused by its expected value, as one line with both values
+    # and exit code 1 for scripts.
     routes.add("GET", "/v1/customers", 200, {"customers": [ROW]})
     routes.add(
         "PATCH",
@@ -136,17 +136,17 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # An operator issues a key, and the VM is lost after it had the request.
-    # Sent again to the next VM it would issue a second key that nobody
-    # knows of. Cause: a lost answer says nothing about the effect.
+    # The VM is lost after it received the request, so the key may have been
+    # issued. A retry at the next VM would issue a second key, and the first
+    # would stay valid without anybody having it.
     listener = socket.create_server(("127.0.0.1", 0))
 
-    def take_and_drop() -> None:
+    def receive_and_close() -> None:
         connection, _ = listener.accept()
         connection.recv(65536)
         connection.close()
 
-    thread = threading.Thread(target=take_and_drop, daemon=True)
+    thread = threading.Thread(target=receive_and_close, daemon=True)
     thread.start()
     servers = f"127.0.0.1:{listener.getsockname()[1]},{routes.address}"
     code = run(monkeypatch, "key", "create", "kisumu", "--server", servers)
@@ -157,7 +157,7 @@
     assert routes.seen == []
 
 
-def test_submit_streams_the_file_and_results_come_back(
+def test_submit_uploads_the_file_and_results_are_printed(
     routes: routes_lib.Routes,
     monkeypatch: pytest.MonkeyPatch,
     capsysbinary: pytest.CaptureFixture[bytes],
@@ -185,7 +185,7 @@
     assert routes.seen[0].credential == "Bearer callers-key"
 
 
-def test_chat_prints_tokens_and_notices_a_broken_answer(
+def test_chat_prints_tokens_and_reports_a_truncated_answer(
     routes: routes_lib.Routes,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
@@ -202,7 +202,7 @@
     assert "broke off" in captured.err
 
 
-def test_refusal_says_when_to_come_back(
+def test_refusal_shows_the_retry_time(
     routes: routes_lib.Routes,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
@@ -251,14 +251,14 @@
     assert "waiting" in capsys.readouterr().out
 
 
-def test_adapter_needs_its_model(
+def test_adapter_requires_a_base_model(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(monkeypatch, "upstream", "adapter", "e0", "tuned") == 2
     assert "--base is required" in capsys.readouterr().err
 
 
-def test_explain_puts_the_lines_of_one_id_in_order(
+def test_explain_prints_the_lines_of_one_id_in_order_of_time(
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
     tmp_path: pathlib.Path,
