--- a/packages/bench/bench/__main__.py
+++ b/packages/bench/bench/__main__.py
@@ -9,19 +9,19 @@
 from bench.replay import command as replay_command
 from bulrushdeal import errors
 
-_MISTAKE_EXIT = 2
+_USER_ERROR_EXIT_CODE = 2
 
 
 def build() -> application.Application:
     """Returns the application with all its commands."""
     app = application.Application("bench", "0.1.0")
-    for kind in (
+    for command_type in (
         experiments.HarmCommand,
         experiments.NoisyCommand,
         experiments.OnlineCommand,
         replay_command.ReplayCommand,
     ):
-        app.add(kind())
+        app.add(command_type())
     app.auto_exits(False)
     app.catch_exceptions(False)
     return app
@@ -33,7 +33,7 @@
         return build().run()
     except (exceptions.CleoError, errors.UserError) as error:
         print(" ".join(str(error).split()), file=sys.stderr)
-        return _MISTAKE_EXIT
+        return _USER_ERROR_EXIT_CODE
 
 
 if __name__ == "__main__":
--- a/packages/bench/bench/batchcost.py
+++ b/packages/bench/bench/batchcost.py
@@ -1,9 +1,9 @@
-"""Measures what batch work costs: processor time, platform calls, bytes.
+"""Measures the processor time, platform calls and disk space of batch work.
 
-Run as `PYTHONPATH=tests python -m bench.batchcost`. The services are the
-daemon's own; the platform, the peers and the engine are the tests' fakes,
-which answer at once, so that the figures are this system's overhead. Peer
-messages pass through the codec but not through a socket.
+Run as `PYTHONPATH=tests python -m bench.batchcost`. The batch services are
+those of the daemon. The platform, the peers and the engine are fakes from the
+tests that answer at once, so the figures show only the overhead of this
+system. Peer messages pass through the codec but not through a socket.
 """
 
 import pathlib
@@ -19,19 +19,21 @@
 _CHUNK_ITEMS = 500
 _MS = 1000.0
 _THREADED_ITEMS = 10_000
-_LOOK_S = 0.02
+_POLL_S = 0.02
 
 
-class Cost(NamedTuple):
-    """Processor time for the items of one job.
+class ItemCost(NamedTuple):
+    """Processor time and disk space per item of one job.
 
     Attributes:
-        size_bytes: The prompt's length.
-        upload_ms: For each item, to check, split and store it twice.
-        claim_ms: For each item, to claim and read its chunk.
-        run_ms: For each item, to run it at an engine that answers at once.
-        seal_ms: For each item, to seal its result and store it twice.
-        store_bytes: On all disks, for each item.
+        size_bytes: Length of each prompt.
+        upload_ms: Processor time to check, split and store an item in two
+            copies.
+        claim_ms: Processor time to claim and read a chunk, per item.
+        run_ms: Processor time to run an item on an engine that answers at
+            once.
+        seal_ms: Processor time to seal a result and store two copies.
+        store_bytes: Bytes on all disks together, per item.
     """
 
     size_bytes: int
@@ -42,13 +44,13 @@
     store_bytes: float
 
 
-class Threads(NamedTuple):
-    """The worker's own threads at an engine that answers at once.
+class ThreadedRun(NamedTuple):
+    """A job run by the worker's threads on an engine that answers at once.
 
     Attributes:
-        threads: How many.
-        items_per_s: From the start to the end of the job.
-        cpu_ms: Processor time for each item, with claims and seals.
+        threads: Number of worker threads.
+        items_per_s: Items per second from the start to the end of the job.
+        cpu_ms: Processor time per item, claiming and sealing included.
     """
 
     threads: int
@@ -56,8 +58,8 @@
     cpu_ms: float
 
 
-class Calls(NamedTuple):
-    """Platform calls of one job."""
+class PlatformCalls(NamedTuple):
+    """Platform calls of one job from its submission to its end."""
 
     chunks: int
     reads: int
@@ -65,7 +67,7 @@
 
 
 def main() -> None:
-    """Prints all figures."""
+    """Measures and prints all figures."""
     print("| prompt bytes | upload | claim | run | seal | store bytes |")
     print("|---|---|---|---|---|---|")
     for size_bytes in _SIZES_BYTES:
@@ -93,8 +95,8 @@
     )
 
 
-def measure_cost(size_bytes: int) -> Cost:
-    """Measures one job on one VM, step after step."""
+def measure_cost(size_bytes: int) -> ItemCost:
+    """Runs one job on one VM and measures each step on its own."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = _fleet(pathlib.Path(folder))
         vm = fleet.vms["vm0"]
@@ -124,7 +126,7 @@
         files = pathlib.Path(folder).rglob("objects/*/*/*")
         store_bytes = sum(file.stat().st_size for file in files)
     per_item = _MS / _ITEMS
-    return Cost(
+    return ItemCost(
         size_bytes,
         upload_s * per_item,
         claim_s * per_item,
@@ -134,8 +136,8 @@
     )
 
 
-def measure_threads() -> Threads:
-    """Runs a job on the worker's own threads, as a daemon does."""
+def measure_threads() -> ThreadedRun:
+    """Runs a job on the worker's threads, as in a daemon."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = _fleet(pathlib.Path(folder))
         vm = fleet.vms["vm0"]
@@ -150,38 +152,39 @@
             for other in fleet.vms.values():
                 other.coordinator.tick()
             vm.worker.wake()
-            time.sleep(_LOOK_S)
-            fleet.clock.now_s += _LOOK_S
+            time.sleep(_POLL_S)
+            fleet.clock.now_s += _POLL_S
         wall_s = time.monotonic() - begin_s
         cpu_s = time.process_time() - cpu_s
         vm.worker.stop(1.0)
-    return Threads(
+    return ThreadedRun(
         vm.settings.batch_threads,
         _THREADED_ITEMS / wall_s,
         cpu_s * _MS / _THREADED_ITEMS,
     )
 
 
-def measure_calls(chunks: int) -> Calls:
+def measure_calls(chunks: int) -> PlatformCalls:
     """Counts the platform calls of a job from submission to its end."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = _fleet(pathlib.Path(folder))
         vm = fleet.vms["vm0"]
         prompts = _prompts(chunks * _CHUNK_ITEMS, 20)
         file = vm.upload("c", prompts).json["id"]
-        idle = _idle_reads_a_round(fleet)
+        idle_reads = _idle_reads_per_round(fleet)
         before = fleet.keyvalue.reads, fleet.keyvalue.writes
         job = vm.submit("c", file).json["id"]
         rounds = 0
         while not _has_ended(fleet, job):
             fleet.round()
             rounds += 1
-        reads = fleet.keyvalue.reads - before[0] - round(idle * rounds)
-        return Calls(chunks, reads, fleet.keyvalue.writes - before[1])
+        reads = fleet.keyvalue.reads - before[0] - round(idle_reads * rounds)
+        return PlatformCalls(chunks, reads, fleet.keyvalue.writes - before[1])
 
 
-def _idle_reads_a_round(fleet: batchfakes.Fleet) -> float:
-    # The sweeps of the queue go on with no work, and are not the job's.
+def _idle_reads_per_round(fleet: batchfakes.Fleet) -> float:
+    # The queue is scanned periodically even without a job, so these reads
+    # are subtracted from those of a job.
     rounds = 40
     before = fleet.keyvalue.reads
     fleet.run(rounds)
@@ -200,16 +203,17 @@
     for number in range(3):
         name = f"vm{number}"
         fleet.add(name, f"d{number}", str(folder / name))
-    # Counting what was sent is the tests' business and grows with it.
-    fleet.upstreams.prompts = _Forgetful()
+    # The fake records each prompt for the tests. The record would grow with
+    # the number of items, so it is switched off here.
+    fleet.upstreams.prompts = _DiscardingList()
     return fleet
 
 
-class _Forgetful(list[str]):
-    """A list that keeps nothing."""
+class _DiscardingList(list[str]):
+    """A list that ignores appended items."""
 
     def append(self, item: str) -> None:
-        """Drops the item."""
+        """Ignores the item."""
 
 
 def _prompts(count: int, size_bytes: int) -> dict[str, str]:
--- a/packages/bench/bench/control.py
+++ b/packages/bench/bench/control.py
@@ -1,10 +1,10 @@
-"""Measures what control costs as VMs and customers grow.
+"""Measures the cost of the control services by number of VMs and customers.
 
-Runs the control services of some VMs in this process against the stand-in
-platform in another, and prints a table: calls a second at the platform,
-bytes a second between VMs, processor time, and how long an edit takes until
-it is in force everywhere. With `--pages` it prints what customers cost in
-memory and in their pages instead.
+Runs the control services of several VMs in this process against the stand-in
+platform in another process. Prints a table of platform calls per second,
+bytes per second between VMs, processor time, and the time from a
+configuration edit until it is in force on all VMs. With `--pages`, prints the
+memory and page sizes of customers instead.
 """
 
 import random
@@ -39,12 +39,12 @@
 
 _DOMAINS = 4
 _SETTLE_S = 3.0
-_AGE_S = 0.25
+_AGE_SAMPLE_PERIOD_S = 0.25
 _START_TIMEOUT_S = 60.0
 
 
 class Sample(NamedTuple):
-    """The counters of all VMs and of the platform at one moment."""
+    """The counters of all VMs and of the platform at one time."""
 
     at_s: float
     cpu_s: float
@@ -58,20 +58,23 @@
     """One line of the table.
 
     Attributes:
-        vms: VMs in four failure domains.
-        customers: Customers with two keys each.
-        calls_per_s: At the platform, from all VMs together.
-        watches_per_s: Of these, watches.
-        lists_per_s: Of these, reads of the list of VMs.
-        platform_bytes_per_s: Bodies to and from the platform, all VMs.
-        peer_bytes_per_s: Sent by each VM to its peers.
-        messages_per_s: Sent by each VM to its peers.
-        cpu_percent: Of one core, for each VM.
-        median_ms: From an edit's start until it is in force on all VMs.
-        worst_ms: The slowest of these.
-        worst_age_s: The greatest age of a VM's configuration, as the
-            operators' status shows it, looked at four times a second.
-        peak_rss_mb: Of this process with all its VMs so far.
+        vms: Number of VMs, spread over four failure domains.
+        customers: Number of customers, each with two keys.
+        calls_per_s: Platform calls per second from all VMs together.
+        watches_per_s: The part of `calls_per_s` that are watches.
+        lists_per_s: The part of `calls_per_s` that read the VM list.
+        platform_bytes_per_s: Bytes per second in the bodies to and from the
+            platform, for all VMs together.
+        peer_bytes_per_s: Bytes per second that each VM sends to its peers.
+        messages_per_s: Messages per second that each VM sends to its peers.
+        cpu_percent: Processor time per VM, in percent of one core.
+        median_ms: Median time from the start of an edit until it is in force
+            on all VMs.
+        worst_ms: Longest such time.
+        worst_age_s: Greatest age of a VM's configuration, as the operators'
+            status shows it, sampled four times per second.
+        peak_rss_mb: Peak resident memory of this process, which holds all
+            VMs and those of the earlier rows.
     """
 
     vms: int
@@ -128,7 +131,7 @@
 
 
 class Experiment:
-    """Some VMs, some customers, and the stand-in platform."""
+    """Several VMs, their customers, and the stand-in platform."""
 
     def __init__(
         self, vms: int, customers: int, cut_domains: int = 0, seed: int = 1
@@ -147,7 +150,7 @@
         self._nodes: list[ControlNode] = []
         for number in range(vms):
             self._nodes.append(self._make_node(number, cut_domains))
-        # Those that reach the platform; edits are made there.
+        # An edit needs the platform, so only VMs that reach it make edits.
         self._editing = [
             node
             for node in self._nodes
@@ -156,7 +159,8 @@
 
     def _make_node(self, number: int, cut_domains: int) -> ControlNode:
         domain = number % _DOMAINS
-        # The last domains are cut off: nobody listens at their platform.
+        # The last domains are cut off: nothing listens on the platform
+        # address that their VMs get.
         is_cut = domain >= _DOMAINS - cut_domains
         seed = self._nodes[0].settings.peers_address if self._nodes else ""
         return ControlNode(
@@ -167,7 +171,11 @@
         )
 
     def start(self) -> None:
-        """Lists the VMs, stores the customers and waits until all serve."""
+        """Lists the VMs, stores the customers and waits until VMs are ready.
+
+        Raises:
+            TimeoutError: A VM was not ready after 60 s.
+        """
         for node in self._nodes:
             row = records.Vm(
                 node.settings.vm,
@@ -199,7 +207,12 @@
         self._process.wait()
 
     def run(self, duration_s: float, edits_per_s: float) -> Row:
-        """Edits for a while and returns what it cost."""
+        """Makes edits at a fixed rate and returns the measured costs.
+
+        Args:
+            duration_s: Length of the run.
+            edits_per_s: Edits started per second.
+        """
         before = self._sample()
         delays_ms: list[float] = []
         end_s = before.at_s + duration_s
@@ -208,16 +221,20 @@
             delays_ms.append(self._edit())
             next_s += 1.0 / edits_per_s
             while time.monotonic() < min(next_s, end_s):
-                self._note_age()
-                time.sleep(_AGE_S)
+                self._sample_age()
+                time.sleep(_AGE_SAMPLE_PERIOD_S)
         return self._row(before, self._sample(), delays_ms)
 
-    def _note_age(self) -> None:
+    def _sample_age(self) -> None:
         ages_s = [node.config.gossip.age_s() for node in self._nodes]
         self._worst_age_s = max(self._worst_age_s, *ages_s)
 
     def _edit(self) -> float:
-        """Changes a random row at a random VM; returns milliseconds."""
+        """Changes a random row at a random VM.
+
+        Returns:
+            The time until the change is in force on all VMs, in ms.
+        """
         node = self._random.choice(self._editing)
         name = f"customer-{self._random.randrange(self._customers)}"
         key = pages.customer_key(name)
@@ -284,7 +301,7 @@
 
 
 class ControlCommand(command.Command):
-    """Prints what control costs."""
+    """Prints the cost of the control services."""
 
     name = "control"
     description = "Measure the control services as VMs and customers grow."
@@ -295,8 +312,8 @@
         option("edits-per-s", default="1", flag=False),
         option(
             "cut-domains",
-            description="So many of the four domains do not reach the"
-            " platform.",
+            description="How many of the four failure domains do not reach"
+            " the platform.",
             default="0",
             flag=False,
         ),
@@ -304,21 +321,21 @@
     ]
 
     def handle(self) -> int:
-        """Runs one experiment after the other."""
+        """Runs one experiment for each combination of sizes."""
         logs.configure("error")
-        customers = _numbers(self.option("customers"))
+        customers = _parse_numbers(self.option("customers"))
         if self.option("pages"):
-            self._head(pagecost.PageRow._fields)
+            self._print_header(pagecost.PageRow._fields)
             for count in customers:
-                self.line(_format(pagecost.measure_pages(count)))
+                self.line(_format_row(pagecost.measure_pages(count)))
             return 0
-        self._head(Row._fields)
-        for vms in _numbers(self.option("vms")):
+        self._print_header(Row._fields)
+        for vms in _parse_numbers(self.option("vms")):
             for count in customers:
-                self.line(_format(self._measure(vms, count)))
+                self.line(_format_row(self._measure(vms, count)))
         return 0
 
-    def _head(self, names: tuple[str, ...]) -> None:
+    def _print_header(self, names: tuple[str, ...]) -> None:
         self.line("| " + " | ".join(names) + " |")
         self.line("|" + "---|" * len(names))
 
@@ -334,11 +351,11 @@
             experiment.stop()
 
 
-def _numbers(text: Any) -> list[int]:
+def _parse_numbers(text: Any) -> list[int]:
     return [int(part) for part in str(text).split(",")]
 
 
-def _format(row: Row | pagecost.PageRow) -> str:
+def _format_row(row: Row | pagecost.PageRow) -> str:
     cells = [
         str(value) if isinstance(value, int) else f"{value:.2f}"
         for value in row
@@ -347,7 +364,7 @@
 
 
 def main() -> None:
-    """Runs the only command; a signal stops the platform as well."""
+    """Runs the command; exits on SIGTERM so that the platform stops too."""
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     app = application.Application("bench.control")
     app.add(ControlCommand())
--- a/packages/bench/bench/countcost.py
+++ b/packages/bench/bench/countcost.py
@@ -1,9 +1,10 @@
-"""Measures the reports of counts: `python -m bench.countcost [flags]`.
+"""Measures reports of in-flight counts: `python -m bench.countcost [flags]`.
 
-One VM of a failure domain reports to the owners of all its upstreams, by the
-code that runs in the daemon, over peers that only count. Requests come and
-end at random, as many as a node has at the peak. What the VM sends, it also
-receives from the others of its size, so its row stands for both ends.
+One VM of a failure domain reports its request counts to the owners of all
+upstreams, with the code of the daemon and fake peers that answer in memory
+and count bytes. Requests begin and end at random, at the peak load of a VM.
+In a real domain the VM receives as much from its peers as it sends, so one
+row covers both directions.
 """
 
 import argparse
@@ -26,8 +27,9 @@
 from bulrushdeald import topology as topology_lib
 from bulrushdeald import wire
 
-_UPSTREAMS_A_VM = 16 / 3
-_RUNNING_A_VM = 665
+_UPSTREAMS_PER_VM = 16 / 3
+# Requests that run at once on a VM at the peak of 37.5 requests per second.
+_RUNNING_PER_VM = 665
 _DOMAIN = "domain-0"
 _SETTLE_S = 3.0
 
@@ -36,17 +38,20 @@
     """One line of the table.
 
     Attributes:
-        vms: In the failure domain.
-        upstreams: In the failure domain.
-        requests_per_s: That began on the VM.
-        calls_per_s: Reports that it sent.
-        calls_a_request: The same for each request.
-        report_bytes: Mean of a report's frame.
-        answer_bytes: Mean of an answer's frame.
-        bytes_per_s: Of both, sent by a VM that answers as many.
-        end_lag_ms: Mean time until an owner knows that a request ended.
-        begin_lag_ms: Mean time until an owner knows that a request began.
-        ms_a_call: Processor time of a report and its answer, without peers.
+        vms: VMs in the failure domain.
+        upstreams: Upstreams in the failure domain.
+        requests_per_s: Requests per second that began on the VM.
+        calls_per_s: Reports per second that the VM sent.
+        calls_a_request: Reports sent per request.
+        report_bytes: Mean size of a report's frame.
+        answer_bytes: Mean size of an answer's frame.
+        bytes_per_s: Bytes per second of reports and answers, as sent by a VM
+            that answers as many reports as it sends.
+        end_lag_ms: Mean time from the end of a request until its owner
+            receives the report.
+        begin_lag_ms: The same from the beginning of a request.
+        ms_a_call: Processor time of one report and its answer, without the
+            connection between the VMs.
     """
 
     vms: int
@@ -68,13 +73,18 @@
 
 
 class _Owner(NamedTuple):
-    """What an owner answers from."""
+    """The state of the owner of some upstreams.
+
+    Attributes:
+        counts: The in-flight counts of its upstreams.
+        names: The names of its upstreams.
+    """
 
     counts: inflight.Inflight
     names: countlists.Names
 
     def answer(self, message: Any) -> Any:
-        """Returns the answer to either kind of report."""
+        """Takes a report in either form and returns the owner's totals."""
         owned = frozenset(self.names.names)
         if isinstance(message, inflight.CountsReport):
             self.counts.take_report("vm-0", message)
@@ -86,7 +96,16 @@
 
 
 class CountingPeers:
-    """Answers each report as its owner would, and counts the bytes."""
+    """Fake peers that answer each report as its owner and count the bytes.
+
+    Attributes:
+        calls: Reports received.
+        report_bytes: Size of their frames.
+        answer_bytes: Size of the answers' frames.
+        lags_s: Times from a change to the report of it; the key is whether
+            a request ended.
+        waiting: Changes not reported yet, by owner.
+    """
 
     def __init__(self, router: "Router", choice: random.Random) -> None:
         self._router = router
@@ -115,7 +134,7 @@
             if vm not in self._owners:
                 names = tuple(sorted(self._router.owned_by(vm)))
                 self._owners[vm] = _Owner(
-                    self._busy(names), countlists.Names(names)
+                    self._random_counts(names), countlists.Names(names)
                 )
             answer = self._owners[vm].answer(message)
             self.calls += 1
@@ -125,23 +144,23 @@
                 self.lags_s[change.is_end].append(now_s - change.at_s)
         return result.Ok(answer)
 
-    def _busy(self, names: tuple[str, ...]) -> inflight.Inflight:
-        """Returns an owner's counts with other VMs' requests and its own."""
+    def _random_counts(self, names: tuple[str, ...]) -> inflight.Inflight:
+        """Returns an owner's counts, filled with random numbers."""
         counts = inflight.Inflight(clock_lib.SystemClock())
         for name in names:
             counts.add_online(name, self._random.randrange(100, 150))
             counts.add_batch(name, self._random.randrange(10, 50))
         return counts
 
-    def note(self, owner: str, is_end: bool) -> None:
-        """Notes a change that its owner does not know yet."""
+    def record_change(self, owner: str, is_end: bool) -> None:
+        """Records a change that is not yet reported to its owner."""
         with self._lock:
             change = _Change(time.monotonic(), is_end)
             self.waiting.setdefault(owner, []).append(change)
 
 
 class Router:
-    """See `inflightreports.Owner`: a topology that stays as it is."""
+    """A fixed topology; see `inflightreports.Owner`."""
 
     def __init__(self, vms: int) -> None:
         rows = tuple(
@@ -150,7 +169,7 @@
         )
         upstreams = tuple(
             records.Upstream(f"engine-{number}", "engine", "", "", _DOMAIN)
-            for number in range(round(vms * _UPSTREAMS_A_VM))
+            for number in range(round(vms * _UPSTREAMS_PER_VM))
         )
         self._topology = topology_lib.build(upstreams, rows, rows[0])
         self._owned: dict[str, frozenset[str]] = {}
@@ -171,7 +190,7 @@
         """See `inflightreports.Owner`."""
 
     def owned_by(self, vm: str) -> frozenset[str]:
-        """Returns the upstreams of an owner."""
+        """Returns the names of the upstreams that a VM owns."""
         if vm not in self._owned:
             owners = self._topology.owners
             self._owned[vm] = frozenset(
@@ -203,11 +222,11 @@
         self._ends: list[tuple[float, str]] = []
         self._next_s = time.monotonic()
         self.begun = 0
-        for _ in range(int(_RUNNING_A_VM * rate_per_s / 37.5)):
+        for _ in range(int(_RUNNING_PER_VM * rate_per_s / 37.5)):
             self._begin(self._next_s)
 
     def run(self, duration_s: float) -> None:
-        """Goes on for a while."""
+        """Begins and ends requests in real time for a duration."""
         end_s = time.monotonic() + duration_s
         while (now_s := time.monotonic()) < end_s:
             while self._ends and self._ends[0][0] <= now_s:
@@ -220,9 +239,9 @@
 
     def _begin(self, now_s: float) -> None:
         name = self._random.choice(self._names)
-        mean_s = _RUNNING_A_VM / 37.5
-        lasts_s = self._random.expovariate(1 / mean_s)
-        heapq.heappush(self._ends, (now_s + lasts_s, name))
+        mean_s = _RUNNING_PER_VM / 37.5
+        lifetime_s = self._random.expovariate(1 / mean_s)
+        heapq.heappush(self._ends, (now_s + lifetime_s, name))
         self._change(name, 1)
         self.begun += 1
 
@@ -232,12 +251,19 @@
             self._counts.add_online(name, count)
             if owner == "vm-0":
                 return
-            self.peers.note(owner, count < 0)
+            self.peers.record_change(owner, count < 0)
             self.reports.changed(owner, is_urgent=count > 0)
 
 
 def measure(vms: int, rate_per_s: float, duration_s: float, seed: int) -> Row:
-    """Measures one size."""
+    """Measures one size.
+
+    Args:
+        vms: VMs in the failure domain.
+        rate_per_s: Mean requests per second that begin on the VM.
+        duration_s: Measured time, after a settling time of 3 s.
+        seed: Seed of the random load.
+    """
     load = _Load(vms, rate_per_s, seed)
     load.reports.start()
     load.run(_SETTLE_S)
@@ -256,7 +282,7 @@
     load.reports.stop()
     return Row(
         vms,
-        round(vms * _UPSTREAMS_A_VM),
+        round(vms * _UPSTREAMS_PER_VM),
         begun / took_s,
         calls / took_s,
         calls / max(1, begun),
