--- a/packages/bench/bench/experiments.py
+++ b/packages/bench/bench/experiments.py
@@ -1,4 +1,4 @@
-"""`python -m bench harm`, `noisy` and `online`."""
+"""The commands `harm`, `noisy` and `online` of `python -m bench`."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 from bulrushdeal import errors
 from standins import fleet as fleet_lib
 
-_NUMBERS = (
+_NUMERIC_OPTIONS = (
     "seconds",
     "rate-per-s",
     "burst-factor",
@@ -31,7 +31,7 @@
 _PROFILES = ", ".join(sorted(site_lib.PROFILES))
 
 
-def _value(name: str, default: str, description: str = "") -> Any:
+def _value_option(name: str, default: str, description: str = "") -> Any:
     return option(name, description=description, flag=False, default=default)
 
 
@@ -39,28 +39,39 @@
     """Runs daemons and engines on loopback and loads them."""
 
     options = [
-        _value("profile", "kenya", f"One of: {_PROFILES}."),
-        _value("seconds", "20", "How long."),
-        _value("rate-per-s", "25", "Online requests a second."),
-        _value("burst-factor", "2", "By how much bursts are more."),
-        _value("prefixes", "0", "Prompts that requests share."),
-        _value("factor", "5", "Of the noisy customer's load."),
-        _value("row-factor", "1", "Of the noisy customer's row."),
-        _value("busy", "0", "Processes that only take processors."),
-        _value("seed", "1"),
+        _value_option("profile", "kenya", f"One of: {_PROFILES}."),
+        _value_option("seconds", "20", "Duration of a phase."),
+        _value_option("rate-per-s", "25", "Mean online requests per second."),
+        _value_option(
+            "burst-factor", "2", "Factor of the arrival rate in bursts."
+        ),
+        _value_option("prefixes", "0", "Prompt prefixes that requests share."),
+        _value_option(
+            "factor",
+            "5",
+            "The noisy customer's load as a multiple of its rate.",
+        ),
+        _value_option(
+            "row-factor",
+            "1",
+            "The noisy customer's row as a multiple of its rate.",
+        ),
+        _value_option("busy", "0", "Processes that only use processor time."),
+        _value_option("seed", "1"),
         option(
             "daemon",
-            description="SETTING=VALUE of the daemons, as batch-yields=no.",
+            description="A daemon setting as SETTING=VALUE, such as"
+            " batch-yields=no.",
             flag=False,
             multiple=True,
         ),
     ]
 
     def handle(self) -> int:
-        """Runs, prints a table and writes the figures as JSON.
+        """Runs the experiment, prints its figures and writes them as JSON.
 
         Raises:
-            errors.UserError: An option is wrong.
+            errors.UserError: An option is invalid.
         """
         profile = site_lib.PROFILES.get(self.option("profile"))
         if profile is None:
@@ -69,7 +80,7 @@
         if not all(equals for _, equals, _ in pairs):
             raise errors.UserError("--daemon must be SETTING=VALUE.")
         settings = {name: value for name, _, value in pairs}
-        for name in _NUMBERS:
+        for name in _NUMERIC_OPTIONS:
             self.number(name)
         with (
             tempfile.TemporaryDirectory() as name,
@@ -77,19 +88,19 @@
         ):
             site = site_lib.Site(fleet, profile, settings)
             site.start(self.number("rate-per-s"))
-            site.keep_busy(int(self.number("busy")))
-            found = codec.to_object(self.run_on(site))
-        self.line("\n".join(_rows(found)))
+            site.start_busy_processes(int(self.number("busy")))
+            figures = codec.to_object(self.run_on(site))
+        self.line("\n".join(_format_rows(figures)))
         flags = {row.name: self.option(row.name) for row in self.options}
-        path = site_lib.run_folder() / f"{self.name}-{time.time():.0f}.json"
-        path.write_text(json.dumps({"flags": flags, "found": found}))
+        path = site_lib.results_folder() / f"{self.name}-{time.time():.0f}.json"
+        path.write_text(json.dumps({"flags": flags, "found": figures}))
         return 0
 
     def number(self, name: str) -> float:
-        """Returns the value of an option.
+        """Returns the value of a numeric option.
 
         Raises:
-            errors.UserError: It is no number.
+            errors.UserError: The value is not a number.
         """
         try:
             return float(self.option(name))
@@ -97,22 +108,26 @@
             raise errors.UserError(f"--{name} must be a number.") from error
 
     def shape(self) -> load.Shape:
-        """Returns the shape of the online load."""
+        """Returns the shape of the online requests."""
         return load.Shape(
             prefixes=int(self.number("prefixes")),
             burst_factor=self.number("burst-factor"),
         )
 
     def run_on(self, site: site_lib.Site) -> Any:
-        """Runs the experiment and returns its figures."""
+        """Runs the experiment on a started deployment.
+
+        Returns:
+            The figures as a `NamedTuple`.
+        """
         raise NotImplementedError
 
 
 class HarmCommand(ExperimentCommand):
-    """See `harm`."""
+    """Runs `harm`."""
 
     name = "harm"
-    description = "What batch costs online callers."
+    description = "Measure how batch work slows online requests."
 
     def run_on(self, site: site_lib.Site) -> Any:
         """See `ExperimentCommand`."""
@@ -121,10 +136,10 @@
 
 
 class NoisyCommand(ExperimentCommand):
-    """See `noisy`."""
+    """Runs `noisy`."""
 
     name = "noisy"
-    description = "What one customer's excess costs the others."
+    description = "Measure how one customer's excess load affects the others."
 
     def run_on(self, site: site_lib.Site) -> Any:
         """See `ExperimentCommand`."""
@@ -139,10 +154,10 @@
 
 
 class OnlineCommand(ExperimentCommand):
-    """See `online`."""
+    """Runs `online`."""
 
     name = "online"
-    description = "What online callers get."
+    description = "Measure the latency and cost of online requests."
 
     def run_on(self, site: site_lib.Site) -> Any:
         """See `ExperimentCommand`."""
@@ -150,11 +165,11 @@
         return online.run(site, self.shape(), self.number("seconds"), seed)
 
 
-def _rows(value: Any, name: str = "") -> list[str]:
+def _format_rows(value: Any, name: str = "") -> list[str]:
     if isinstance(value, dict):
         rows = []
         for key, item in value.items():
-            rows += _rows(item, f"{name}.{key}" if name else key)
+            rows += _format_rows(item, f"{name}.{key}" if name else key)
         return rows
     shown = f"{value:.4g}" if isinstance(value, float) else str(value)
     return [f"{name:55} {shown}"]
--- a/packages/bench/bench/harm.py
+++ b/packages/bench/bench/harm.py
@@ -1,7 +1,8 @@
-"""What batch work does to online requests, and what it gets itself.
+"""Measures how batch work slows online requests, and its own throughput.
 
-Three phases on one deployment: online alone, online beside a full backlog of
-batch items, and batch alone. The ratios are between phases of the same run.
+Runs three phases on one deployment: online requests alone, online requests
+beside a full backlog of batch items, and batch items alone. All ratios
+compare phases of the same run.
 """
 
 import time
@@ -16,30 +17,41 @@
 
 
 class Phase(NamedTuple):
-    """One phase: what online callers saw and what the engines did."""
+    """The figures of one phase.
 
-    online: load.Seen | None
+    Attributes:
+        online: What the online callers saw; `None` without online requests.
+        batch_per_s: Batch items finished per second.
+        cancelled_per_s: Requests per second that the engines cancelled.
+        online_slots: Mean number of slots that online requests used.
+        processor: Processor use of all processes.
+    """
+
+    online: load.Summary | None
     batch_per_s: float
     cancelled_per_s: float
     online_slots: float
-    processor: spent.Processor
+    processor: spent.ProcessorUse
 
 
 class Harm(NamedTuple):
-    """The three phases and the ratios that count.
+    """The three phases and the ratios between them.
 
     Attributes:
-        online_alone: First phase.
-        both: Second phase.
-        batch_alone: Third phase.
-        first_token_ratio: `both` to `online_alone`, by percentile.
+        online_alone: The first phase.
+        both: The second phase.
+        batch_alone: The third phase.
+        first_token_ratio: Time to the first token in `both`, relative to
+            `online_alone`, by percentile.
         between_tokens_ratio: The same for the time between tokens.
-        engines_pace_ratio: The part of it that is the engines' own pace.
-        batch_ratio: Items a second in `both`, to what batch alone gets
-            from as many slots as online leaves.
-        ceiling_ratio: Items a second of batch alone, to the ceiling of the
-            engines with all slots always full.
-        lost_ratio: Online requests not answered, of all in `both`.
+        engines_pace_ratio: The same for the time between tokens that the
+            engines' own pace explains.
+        batch_ratio: Items per second in `both`, relative to those of
+            `batch_alone` on as many slots as online requests leave free.
+        ceiling_ratio: Items per second in `batch_alone`, relative to what
+            the engines do with all slots always in use.
+        lost_ratio: Fraction of the online requests in `both` that were not
+            answered.
     """
 
     online_alone: Phase
@@ -56,7 +68,14 @@
 def run(
     site: site_lib.Site, shape: load.Shape, duration_s: float, seed: int
 ) -> Harm:
-    """Runs the three phases."""
+    """Runs the three phases.
+
+    Args:
+        site: The deployment.
+        shape: Shape of the online requests.
+        duration_s: Duration of each phase.
+        seed: Seed of the arrivals.
+    """
 
     def online(phase: str) -> load.Run:
         return load.Run(
@@ -65,21 +84,21 @@
             )
         )
 
-    alone = _phase(site, online("alone"), duration_s)
+    alone = _run_phase(site, online("alone"), duration_s)
     backlog = int(site.slots * (3 * duration_s + 30) / _item_s(site))
     for caller in site.callers[:2]:
         site.submit(caller, backlog // 2, ITEM_TOKENS)
-    _wait_full(site)
-    both = _phase(site, online("both"), duration_s)
+    _wait_until_slots_full(site)
+    both = _run_phase(site, online("both"), duration_s)
     time.sleep(_SETTLE_S)
-    batch = _phase(site, None, duration_s)
+    batch = _run_phase(site, None, duration_s)
     return Harm(
         alone,
         both,
         batch,
-        load.ratios(_first(both), _first(alone)),
-        load.ratios(_between(both), _between(alone)),
-        load.ratios(_pace(both), _pace(alone)),
+        load.ratios(_first_token_ms(both), _first_token_ms(alone)),
+        load.ratios(_between_tokens_ms(both), _between_tokens_ms(alone)),
+        load.ratios(_engines_pace_ms(both), _engines_pace_ms(alone)),
         both.batch_per_s
         / (batch.batch_per_s * (1 - both.online_slots / site.slots)),
         batch.batch_per_s / (site.slots / _item_s(site)),
@@ -88,50 +107,50 @@
 
 
 def _item_s(site: site_lib.Site) -> float:
-    """Returns how long an item runs on an engine with all slots full."""
+    """Returns how long an item runs on an engine with all slots in use."""
     return 0.005 + ITEM_TOKENS * (0.03 + 0.0005 * site.profile.slots)
 
 
-def _wait_full(site: site_lib.Site) -> None:
+def _wait_until_slots_full(site: site_lib.Site) -> None:
     deadline_s = time.monotonic() + 30
     while time.monotonic() < deadline_s:
-        if site.totals().running >= site.slots * 0.8:
+        if site.engine_totals().running >= site.slots * 0.8:
             break
         time.sleep(0.2)
     time.sleep(_SETTLE_S)
 
 
-def _phase(
+def _run_phase(
     site: site_lib.Site, online: load.Run | None, duration_s: float
 ) -> Phase:
     meter = site.meter()
-    before = site.totals()
+    before = site.engine_totals()
     start_s = time.monotonic()
     if online is None:
         time.sleep(duration_s)
     else:
         online.run()
-    after = site.totals()
+    after = site.engine_totals()
     span_s = time.monotonic() - start_s
     processor = meter.read()
-    seen = online.all.seen() if online else None
-    finished = after.finished - before.finished - (seen.ok if seen else 0)
+    summary = online.all.summary() if online else None
+    finished = after.finished - before.finished - (summary.ok if summary else 0)
     return Phase(
-        seen,
+        summary,
         finished / span_s,
         (after.cancelled - before.cancelled) / span_s,
-        seen.busy_s / span_s if seen else 0.0,
+        summary.busy_s / span_s if summary else 0.0,
         processor,
     )
 
 
-def _first(phase: Phase) -> dict[str, float]:
+def _first_token_ms(phase: Phase) -> dict[str, float]:
     return phase.online.first_token_ms if phase.online else {}
 
 
-def _between(phase: Phase) -> dict[str, float]:
+def _between_tokens_ms(phase: Phase) -> dict[str, float]:
     return phase.online.between_tokens_ms if phase.online else {}
 
 
-def _pace(phase: Phase) -> dict[str, float]:
+def _engines_pace_ms(phase: Phase) -> dict[str, float]:
     return phase.online.engines_pace_ms if phase.online else {}
--- a/packages/bench/bench/idle.py
+++ b/packages/bench/bench/idle.py
@@ -1,8 +1,9 @@
-"""Measures what daemons spend on nothing: `python -m bench.idle [flags]`.
+"""Measures what idle daemons use: `python -m bench.idle [flags]`.
 
-Starts a deployment on loopback, leaves it alone, and prints what a VM spent
-in a second: processor time, wakeups, messages and memory, and the same by
-kind of thread. Without a request all of it is control's.
+Starts a deployment on loopback, sends it no requests, and prints the
+processor time, wakeups and messages per second and the memory of a VM, and
+the processor time and wakeups by kind of thread. Without requests, all of it
+is the cost of the control services.
 """
 
 import argparse
@@ -22,35 +23,35 @@
 
 _PROGRAM = "from bench import threadtimes; threadtimes.main()"
 _SETTLE_S = 15.0
-_ANSWER_S = 10.0
-_LEAST_SHOWN_MS = 0.005
+_ANSWER_TIMEOUT_S = 10.0
+_MIN_SHOWN_MS = 0.005
 
 
-class _Thread(NamedTuple):
+class _ThreadCounters(NamedTuple):
     name: str
     processor_s: float
     wakeups: int
 
 
-class _State(NamedTuple):
-    """The counters of one daemon at one moment."""
+class _DaemonCounters(NamedTuple):
+    """The counters of one daemon at one time."""
 
     at_s: float
     processor_s: float
     messages: int
     size_bytes: int
     rss_kb: int
-    threads: dict[int, _Thread]
+    threads: dict[int, _ThreadCounters]
 
 
-class Kind(NamedTuple):
-    """What the threads of one kind spent on a VM, in a second.
+class ThreadKind(NamedTuple):
+    """What the threads of one kind use on a VM.
 
     Attributes:
-        name: Their names without what differs.
-        threads: How many a VM has.
-        processor_ms: Processor time.
-        wakeups: How often they ran again after a wait.
+        name: The common part of the threads' names.
+        threads: Mean number of such threads per VM.
+        processor_ms: Processor time per second.
+        wakeups: Number of times per second that they ran again after a wait.
     """
 
     name: str
@@ -60,16 +61,16 @@
 
 
 class Idle(NamedTuple):
-    """What a VM spent in a second.
+    """What an idle VM uses, as the mean of all VMs.
 
     Attributes:
-        processor_percent: Of one core.
-        wakeups: Of all threads that lived throughout.
-        messages: Sent to peers.
-        size_bytes: Of these.
-        rss_mb: Memory at the end.
-        threads: At the end.
-        kinds: The most expensive first.
+        processor_percent: Processor time, in percent of one core.
+        wakeups: Wakeups per second of the threads that exist at the end.
+        messages: Messages sent to peers per second.
+        size_bytes: Size of these messages per second.
+        rss_mb: Resident memory at the end.
+        threads: Number of threads at the end.
+        kinds: Use by kind of thread, the most expensive first.
     """
 
     processor_percent: float
@@ -78,16 +79,16 @@
     size_bytes: float
     rss_mb: float
     threads: float
-    kinds: tuple[Kind, ...]
+    kinds: tuple[ThreadKind, ...]
 
 
-def _kind(name: str) -> str:
+def _kind_of(name: str) -> str:
     return re.sub(r"[-_ ]?(entry|engine|domain|\d+).*$", "", name)
 
 
-def _state(
+def _read_daemon(
     deployment: deployment_lib.Deployment, daemon: deployment_lib.Daemon
-) -> _State:
+) -> _DaemonCounters:
     headers = deployment_lib.bearer(deployment_lib.OPERATOR_TOKEN)
     dump = deployment.call(
         "GET", daemon.operators, "/v1/dump", headers=headers
@@ -99,11 +100,11 @@
         for line in status.splitlines()
         if line.startswith("VmRSS:")
     )
-    threads = _threads(daemon.process)
-    return _State(
+    threads = _read_threads(daemon.process)
+    return _DaemonCounters(
         time.monotonic(),
-        # The main thread of a daemon that has ended some others keeps their
-        # time, which the sum over threads does not.
+        # The process's total includes the time of threads that have ended;
+        # the sum over the existing threads does not.
         daemon.process.processor_s(),
         dump["peers"]["sent_messages"],
         dump["peers"]["sent_bytes"],
@@ -112,7 +113,7 @@
     )
 
 
-def _threads(process: fleet_lib.Process) -> dict[int, _Thread]:
+def _read_threads(process: fleet_lib.Process) -> dict[int, _ThreadCounters]:
     seen = process.output().count(threadtimes.MARK)
     os.kill(process.pid, signal.SIGUSR2)
 
@@ -124,16 +125,23 @@
         ]
         return lines[-1] if len(lines) > seen else None
 
-    line = fleet_lib.poll(answer, _ANSWER_S, "a daemon tells its threads")
+    line = fleet_lib.poll(
+        answer, _ANSWER_TIMEOUT_S, "a daemon prints its threads"
+    )
     found = json.loads(line.removeprefix(threadtimes.MARK))
-    return {int(key): _Thread(*value) for key, value in found.items()}
+    return {int(key): _ThreadCounters(*value) for key, value in found.items()}
 
 
 def measure(deployment: deployment_lib.Deployment, duration_s: float) -> Idle:
-    """Leaves a deployment alone for a while."""
-    before = [_state(deployment, daemon) for daemon in deployment.daemons]
+    """Measures a deployment that gets no requests.
+
+    Args:
+        deployment: The running deployment.
+        duration_s: Measured time.
+    """
+    before = [_read_daemon(deployment, daemon) for daemon in deployment.daemons]
     time.sleep(duration_s)
-    after = [_state(deployment, daemon) for daemon in deployment.daemons]
+    after = [_read_daemon(deployment, daemon) for daemon in deployment.daemons]
     vms = len(after)
     pairs = tuple(zip(before, after, strict=True))
 
@@ -147,7 +155,7 @@
             / vms
         )
 
-    kinds = _kinds(pairs)
+    kinds = _sum_by_kind(pairs)
     return Idle(
         100 * rate("processor_s"),
         sum(kind.wakeups for kind in kinds),
@@ -159,17 +167,19 @@
     )
 
 
-def _kinds(pairs: tuple[tuple[_State, _State], ...]) -> tuple[Kind, ...]:
-    sums: dict[str, Kind] = {}
+def _sum_by_kind(
+    pairs: tuple[tuple[_DaemonCounters, _DaemonCounters], ...],
+) -> tuple[ThreadKind, ...]:
+    sums: dict[str, ThreadKind] = {}
     for begin, end in pairs:
         span_s = (end.at_s - begin.at_s) * len(pairs)
         for number, thread in end.threads.items():
             first = begin.threads.get(number)
-            name = _kind(thread.name)
-            so_far = sums.get(name, Kind(name, 0, 0, 0))
+            name = _kind_of(thread.name)
+            so_far = sums.get(name, ThreadKind(name, 0, 0, 0))
             spent_s = thread.processor_s - (first.processor_s if first else 0)
             wakeups = thread.wakeups - (first.wakeups if first else 0)
-            sums[name] = Kind(
+            sums[name] = ThreadKind(
                 name,
                 so_far.threads + 1 / len(pairs),
                 so_far.processor_ms + 1000 * spent_s / span_s,
@@ -179,7 +189,7 @@
     return tuple(by_cost)
 
 
-def _print(idle: Idle) -> None:
+def _print_report(idle: Idle) -> None:
     load = os.getloadavg()[0]
     print(f"load of the machine {load:.1f}")
     for name, value in zip(Idle._fields[:-1], idle[:-1], strict=True):
@@ -187,7 +197,7 @@
     print("| kind of thread | threads | ms a second | wakeups a second |")
     print("|---|---|---|---|")
     for kind in idle.kinds:
-        if kind.processor_ms >= _LEAST_SHOWN_MS:
+        if kind.processor_ms >= _MIN_SHOWN_MS:
             print(
                 f"| {kind.name} | {kind.threads:.1f} |"
                 f" {kind.processor_ms:.3f} | {kind.wakeups:.2f} |"
@@ -195,7 +205,7 @@
 
 
 def main() -> None:
-    """Runs one deployment and prints a table."""
+    """Measures one deployment and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--profile", choices=sorted(site_lib.PROFILES), default="kenya"
@@ -215,7 +225,7 @@
         site.deployment.daemon_program = _PROGRAM
         site.start(1.0)
         time.sleep(_SETTLE_S)
-        _print(measure(site.deployment, flags.seconds))
+        _print_report(measure(site.deployment, flags.seconds))
 
 
 if __name__ == "__main__":
--- a/packages/bench/bench/load.py
+++ b/packages/bench/bench/load.py
@@ -1,11 +1,11 @@
-"""An open-loop load of online requests, and what its callers saw.
+"""An open-loop load of online requests, and the latencies of their callers.
 
-Arrivals are planned from a seeded generator before the run and are not held
-back by slow answers; the time to the first token counts from the planned
-start, so that a stalled system cannot hide its own delay.
+Arrivals are planned with a seeded generator before the run and are not
+delayed by slow answers. The time to the first token counts from the planned
+start, so that a stalled system cannot hide its delay.
 
-The engines stamp their tokens, so that what they take themselves can be told
-from what is added on the way from them to here.
+The engines stamp each token with its due time and the time when it was made,
+which separates the engines' delays from those on the way to the load tool.
 """
 
 from collections.abc import Sequence
@@ -28,12 +28,12 @@
 
 
 class Caller(NamedTuple):
-    """One customer's part of a load.
+    """The requests of one customer.
 
     Attributes:
-        customer: Its name.
-        key: What it presents.
-        rate_per_s: Mean arrivals a second.
+        customer: Name of the customer.
+        key: Its API key.
+        rate_per_s: Mean arrivals per second.
     """
 
     customer: str
@@ -42,14 +42,14 @@
 
 
 class Shape(NamedTuple):
-    """What requests look like.
+    """The shape of the requests and their arrivals.
 
     Attributes:
-        prompt_bytes: Mean length of the prompt beside the shared prefix.
-        prefix_bytes: Length of the prefix that requests share.
-        prefixes: How many different prefixes there are; 0 for none.
-        max_tokens: Tokens asked for.
-        burst_factor: Arrivals are this much denser in every fifth second.
+        prompt_bytes: Mean length of a prompt without its shared prefix.
+        prefix_bytes: Length of a shared prefix.
+        prefixes: Number of different prefixes; 0 for none.
+        max_tokens: Tokens requested per answer.
+        burst_factor: Factor of the arrival rate in every fifth second.
     """
 
     prompt_bytes: int = 200
@@ -60,7 +60,7 @@
 
 
 class Arrival(NamedTuple):
-    """One planned request."""
+    """One planned request; `at_s` counts from the start of the run."""
 
     at_s: float
     caller: Caller
@@ -69,12 +69,12 @@
 
 
 class Token(NamedTuple):
-    """One token, by the machine's monotonic clock.
+    """The times of one token, by the machine's monotonic clock.
 
     Attributes:
-        received_s: When it was read here.
-        due_s: When its engine was to make it by its own pace.
-        made_s: When it did.
+        received_s: When the load tool read it.
+        due_s: When its engine should have made it by its configured pace.
+        made_s: When the engine made it.
     """
 
     received_s: float
@@ -82,19 +82,21 @@
     made_s: float
 
 
-class Seen(NamedTuple):
-    """What the callers of one customer, or of all, saw.
+class Summary(NamedTuple):
+    """The outcomes and latencies of a group of requests.
+
+    All latencies are by percentile.
 
     Attributes:
-        requests: How many were sent.
-        ok: How many were answered whole.
-        refused: The others, by code.
-        first_token_ms: From the planned start.
-        between_tokens_ms: Between two tokens of a stream.
-        engines_pace_ms: What that was to be by the engines' own pace.
-        engines_late_ms: How late engines made a token.
-        path_ms: From an engine's write to the load tool's read.
-        busy_s: The time of all streams together.
+        requests: Requests sent.
+        ok: Requests answered completely.
+        refused: Numbers of the other requests by error code.
+        first_token_ms: Time from the planned start to the first token.
+        between_tokens_ms: Time between two tokens of a stream.
+        engines_pace_ms: The same by the engines' configured pace.
+        engines_late_ms: How late an engine made a token.
+        path_ms: Time from making a token to reading it in the load tool.
+        busy_s: Sum of the durations of all answered requests.
     """
 
     requests: int
@@ -109,11 +111,11 @@
 
 
 class Recorder:
-    """Gathers latencies from many threads."""
+    """Collects outcomes and latencies; safe for use by many threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._first = spent.new_histogram()
+        self._first_token = spent.new_histogram()
         self._between = spent.new_histogram()
         self._pace = spent.new_histogram()
         self._late = spent.new_histogram()
@@ -126,12 +128,18 @@
     def answered(
         self, first_s: float, tokens: Sequence[Token], busy_s: float
     ) -> None:
-        """Notes a whole answer."""
+        """Records a complete answer.
+
+        Args:
+            first_s: Time from the planned start to the first token.
+            tokens: All tokens in order.
+            busy_s: Time from sending the request to the last token.
+        """
         with self._lock:
             self._requests += 1
             self._ok += 1
             self._busy_s += busy_s
-            spent.record_s(self._first, first_s)
+            spent.record_s(self._first_token, first_s)
             for token in tokens:
                 spent.record_s(self._late, token.made_s - token.due_s)
                 spent.record_s(self._path, token.received_s - token.made_s)
@@ -141,19 +149,19 @@
                 spent.record_s(self._pace, other.due_s - one.due_s)
 
     def refused(self, code: str) -> None:
-        """Notes a refusal or a failure by its code."""
+        """Records a refusal or a failure under its code."""
         with self._lock:
             self._requests += 1
             self._refused[code] = self._refused.get(code, 0) + 1
 
-    def seen(self) -> Seen:
-        """Returns all that was noted."""
+    def summary(self) -> Summary:
+        """Returns the figures of all recorded requests."""
         with self._lock:
-            return Seen(
+            return Summary(
                 self._requests,
                 self._ok,
                 dict(self._refused),
-                spent.percentiles_ms(self._first),
+                spent.percentiles_ms(self._first_token),
                 spent.percentiles_ms(self._between),
                 spent.percentiles_ms(self._pace),
                 spent.percentiles_ms(self._late),
@@ -163,7 +171,7 @@
 
 
 def ratios(one: dict[str, float], other: dict[str, float]) -> dict[str, float]:
-    """Returns each percentile of one phase relative to another's."""
+    """Returns each percentile of `one` divided by that of `other`."""
     return {name: one[name] / max(other[name], 0.001) for name in one}
 
 
@@ -175,10 +183,22 @@
     seed: int,
     phase: str = "",
 ) -> list[Arrival]:
-    """Returns the arrivals of a run, in order; the same for the same seed.
-
-    Phases of one experiment have the same arrivals but other prompts, or the
-    engines would have the later phases' prompts in their cache.
+    """Plans the arrivals of a run; the same seed gives the same plan.
+
+    The phases of one experiment have the same arrival times but different
+    prompts. Otherwise the engines would have the prompts of the later phases
+    in their caches.
+
+    Args:
+        callers: The customers and their rates.
+        addresses: Addresses of the VMs; each request goes to a random one.
+        shape: Shape of the requests.
+        duration_s: Length of the run.
+        seed: Seed of the arrivals.
+        phase: Name of the phase, which varies the prompts.
+
+    Returns:
+        The arrivals in order of time.
     """
     arrivals: list[Arrival] = []
     for caller in callers:
@@ -200,7 +220,7 @@
 def admitted_by_one_bucket(
     arrivals: Sequence[Arrival], customer: str, rate_per_s: float, burst: float
 ) -> int:
-    """Returns how many arrivals one bucket over the whole fleet would admit."""
+    """Returns how many arrivals a single bucket for the fleet would admit."""
     level = burst
     last_s = 0.0
     admitted = 0
@@ -233,17 +253,27 @@
 
 
 class Run:
-    """Sends planned arrivals and records what comes back."""
+    """Sends planned arrivals and records the answers.
 
-    def __init__(self, arrivals: Sequence[Arrival], loud: str = "") -> None:
+    Attributes:
+        all: All requests.
+        others: Requests of all customers but the excluded one.
+        customers: Requests by customer.
+        vms: Requests of all customers but the excluded one, by the address
+            of the VM that they were sent to.
+    """
+
+    def __init__(
+        self, arrivals: Sequence[Arrival], excluded_customer: str = ""
+    ) -> None:
         """Prepares a run.
 
         Args:
-            arrivals: In order of time.
-            loud: A customer left out of `others`.
+            arrivals: The arrivals in order of time.
+            excluded_customer: A customer left out of `others` and `vms`.
         """
         self._arrivals = arrivals
-        self._loud = loud
+        self._excluded_customer = excluded_customer
         self._pools = urllib3.PoolManager(
             retries=False, maxsize=_THREADS, num_pools=64
         )
@@ -252,11 +282,10 @@
         self.customers = {
             arrival.caller.customer: Recorder() for arrival in arrivals
         }
-        # What all but the loud customer saw, by the VM they came to.
         self.vms = {arrival.address: Recorder() for arrival in arrivals}
 
     def run(self) -> None:
-        """Sends each arrival at its time and waits for all answers."""
+        """Sends each request at its planned time and waits for all answers."""
         start_s = time.monotonic() + 0.2
         with futures.ThreadPoolExecutor(_THREADS) as threads:
             for arrival in self._arrivals:
@@ -267,7 +296,7 @@
     def _send(self, arrival: Arrival, due_s: float) -> None:
         customer = arrival.caller.customer
         recorders = [self.all, self.customers[customer]]
-        if customer != self._loud:
+        if customer != self._excluded_customer:
             recorders += [self.others, self.vms[arrival.address]]
         code = self._exchange(arrival, due_s, recorders)
         if code:
@@ -288,8 +317,8 @@
                 timeout=_TIMEOUT_S,
             )
             if response.status != _OK:
-                return _code(response)
-            tokens = _tokens(response)
+                return _error_code(response)
+            tokens = _read_tokens(response)
         except urllib3.exceptions.HTTPError as error:
             return type(error).__name__
         if tokens is None:
@@ -301,7 +330,7 @@
         return ""
 
 
-def _code(response: urllib3.BaseHTTPResponse) -> str:
+def _error_code(response: urllib3.BaseHTTPResponse) -> str:
     try:
         return str(json.loads(response.data)["error"]["code"])
     except (ValueError, KeyError, TypeError):
@@ -313,13 +342,13 @@
     data: bytes
 
     def token(self) -> Token:
-        """Reads the stamps; done once a stream is over, to delay none."""
+        """Parses the token's times, after the stream so as not to delay it."""
         value = json.loads(self.data.removeprefix(b"data: "))
         return Token(self.received_s, value["due_s"], value["made_s"])
 
 
-def _tokens(response: urllib3.BaseHTTPResponse) -> list[Token] | None:
-    """Returns a stream's tokens, `None` if it was cut."""
+def _read_tokens(response: urllib3.BaseHTTPResponse) -> list[Token] | None:
+    """Returns the tokens of a stream, or `None` if it ended early."""
     events: list[_Event] = []
     is_done = False
     rest = b""
--- a/packages/bench/bench/noisy.py
+++ b/packages/bench/bench/noisy.py
@@ -1,7 +1,7 @@
-"""What a customer at several times its rate does to the others.
+"""Measures how a customer that exceeds its rate affects the others.
 
-Two phases on one deployment: all within their rates, and one large customer
-at several times its own.
+Runs two phases on one deployment: first all customers send at their rates,
+then one large customer, the noisy one, sends at several times its rate.
 """
 
 from typing import NamedTuple
@@ -11,23 +11,24 @@
 
 
 class Phase(NamedTuple):
-    """What callers saw in one phase.
+    """The figures of one phase.
 
     Attributes:
-        others: All customers but the loud one.
-        loud: The customer that is noisy in the second phase.
-        worst_served_ratio: The least part of its requests that one of the
-            others had answered.
-        worst_first_token_ms: The slowest of the others, by percentile.
-        vms_first_token_ms: What the others saw at 95 in 100, by the VM that
-            they came to.
-        ideal: Requests of the loud customer that one bucket over the whole
-            fleet would have admitted.
-        refused_inside: How many fewer were admitted.
+        others: All customers but the noisy one.
+        loud: The noisy customer.
+        worst_served_ratio: Smallest fraction of answered requests of any of
+            the other customers.
+        worst_first_token_ms: Longest time to the first token of any of the
+            other customers, by percentile.
+        vms_first_token_ms: 95th percentile of the other customers' time to
+            the first token, by address of the VM.
+        ideal: Requests of the noisy customer that a single bucket for the
+            whole fleet would have admitted.
+        refused_inside: How many fewer were answered.
     """
 
-    others: load.Seen
-    loud: load.Seen
+    others: load.Summary
+    loud: load.Summary
     worst_served_ratio: float
     worst_first_token_ms: dict[str, float]
     vms_first_token_ms: dict[str, float]
@@ -36,15 +37,17 @@
 
 
 class Noisy(NamedTuple):
-    """The two phases and the ratios that count.
+    """The two phases and the ratios between them.
 
     Attributes:
-        calm: All customers about within their rates.
-        noisy: One customer at several times its rate.
-        first_token_ratio: What the others saw, noisy to calm.
+        calm: The phase with all customers at their rates.
+        noisy: The phase with one customer at several times its rate.
+        first_token_ratio: The other customers' time to the first token in
+            `noisy`, relative to `calm`, by percentile.
         between_tokens_ratio: The same for the time between tokens.
-        allowed: What the loud customer's row allows in the noisy phase.
-        admitted_ratio: Its answered requests to `allowed`.
+        allowed: Requests that the noisy customer's row allows in a phase.
+        admitted_ratio: Its answered requests in `noisy`, relative to
+            `allowed`.
     """
 
     calm: Phase
@@ -67,17 +70,17 @@
 
     Args:
         site: The deployment.
-        shape: Of the requests.
-        duration_s: Of each phase.
-        seed: Of the arrivals.
-        factor: How many times its rate the loud customer sends.
-        row_factor: How many times its rate its row allows. With as much as
-            `factor` nothing but the queue protects the others.
+        shape: Shape of the requests.
+        duration_s: Duration of each phase.
+        seed: Seed of the arrivals.
+        factor: How many times its rate the noisy customer sends.
+        row_factor: How many times its rate the noisy customer's row allows.
+            If this equals `factor`, only the queue protects the others.
     """
-    loud = site.callers[0]
-    row_per_s = loud.rate_per_s * row_factor
-    site.set_row(loud.customer, row_per_s, row_per_s)
-    louder = loud._replace(rate_per_s=loud.rate_per_s * factor)
+    at_rate = site.callers[0]
+    row_per_s = at_rate.rate_per_s * row_factor
+    site.set_row(at_rate.customer, row_per_s, row_per_s)
+    above_rate = at_rate._replace(rate_per_s=at_rate.rate_per_s * factor)
 
     def phase(name: str, first: load.Caller) -> Phase:
         arrivals = load.plan(
@@ -88,10 +91,10 @@
             seed,
             name,
         )
-        return _phase(arrivals, loud.customer, row_per_s)
+        return _run_phase(arrivals, at_rate.customer, row_per_s)
 
-    calm = phase("calm", loud)
-    noisy = phase("noisy", louder)
+    calm = phase("calm", at_rate)
+    noisy = phase("noisy", above_rate)
     allowed = row_per_s * (1 + duration_s)
     return Noisy(
         calm,
@@ -105,23 +108,29 @@
     )
 
 
-def _phase(arrivals: list[load.Arrival], loud: str, row_per_s: float) -> Phase:
-    run = load.Run(arrivals, loud)
+def _run_phase(
+    arrivals: list[load.Arrival], noisy_customer: str, row_per_s: float
+) -> Phase:
+    run = load.Run(arrivals, noisy_customer)
     run.run()
-    seen = {name: part.seen() for name, part in run.customers.items()}
-    mine = seen.pop(loud)
-    ideal = load.admitted_by_one_bucket(arrivals, loud, row_per_s, row_per_s)
+    summaries = {
+        name: recorder.summary() for name, recorder in run.customers.items()
+    }
+    noisy_summary = summaries.pop(noisy_customer)
+    ideal = load.admitted_by_one_bucket(
+        arrivals, noisy_customer, row_per_s, row_per_s
+    )
     return Phase(
-        run.others.seen(),
-        mine,
-        min(part.ok / part.requests for part in seen.values()),
-        _worst([part.first_token_ms for part in seen.values()]),
+        run.others.summary(),
+        noisy_summary,
+        min(part.ok / part.requests for part in summaries.values()),
+        _worst([part.first_token_ms for part in summaries.values()]),
         {
-            address: part.seen().first_token_ms["p95"]
-            for address, part in sorted(run.vms.items())
+            address: recorder.summary().first_token_ms["p95"]
+            for address, recorder in sorted(run.vms.items())
         },
         ideal,
-        max(0, ideal - mine.ok),
+        max(0, ideal - noisy_summary.ok),
     )
 
 
--- a/packages/bench/bench/site.py
+++ b/packages/bench/bench/site.py
@@ -1,9 +1,10 @@
-"""The deployments that experiments run on: processes on loopback.
+"""The deployments that experiments run on, as processes on loopback.
 
-The profiles follow the two deployments of today: Kenya has three failure
-domains with nine replicas of its textbook model, Taiwan four with six of its
-assistant. Each has 8 customers of which a few are large. The engines' times
-are assumed: 30 ms between tokens alone and 0.5 ms more for each stream.
+The profiles follow the two current deployments: Kenya has three failure
+domains with nine replicas of its textbook model, Taiwan has four with six
+replicas of its assistant model. Each has 8 customers, of which a few are
+large. The engines' times are assumptions: 30 ms between the tokens of a single
+stream, and 0.5 ms more for each stream.
 """
 
 from collections.abc import Mapping
@@ -26,12 +27,12 @@
     "--prefill-per-token-s=0.0002",
     "--stamps=1",
 )
-# Parts of the load by customer: a few are large.
-_PARTS = (0.30, 0.25, 0.15, 0.10, 0.08, 0.05, 0.04, 0.03)
+# Each customer's fraction of the load; a few customers are large.
+_CUSTOMER_SHARES = (0.30, 0.25, 0.15, 0.10, 0.08, 0.05, 0.04, 0.03)
 _WARM_UP_S = 5.0
 _AMPLE_RATE_PER_S = 10_000.0
-# It ends by itself if nobody ends it.
-_COMPUTE = """
+# Exits after 300 s in case it is not stopped.
+_BUSY_LOOP_PROGRAM = """
 import time
 end_s = time.monotonic() + 300
 while time.monotonic() < end_s:
@@ -40,13 +41,13 @@
 
 
 class Profile(NamedTuple):
-    """What a deployment looks like.
+    """The size of a deployment.
 
     Attributes:
-        failure_domains: How many.
-        vms_per_domain: Entry VMs in each.
-        engines: Replicas, spread over the failure domains.
-        slots: Requests each runs at once without harm.
+        failure_domains: Number of failure domains.
+        vms_per_domain: Entry VMs in each failure domain.
+        engines: Number of engines, spread over the failure domains.
+        slots: Requests that an engine runs at once without being overloaded.
     """
 
     failure_domains: int
@@ -59,13 +60,17 @@
     "kenya": Profile(3, 2, 9),
     "taiwan": Profile(4, 2, 6),
     "small": Profile(2, 1, 2),
-    # Many VMs choose among the same engines, by counts that are all stale.
+    # Many VMs choose among the same engines, each by outdated counts of the
+    # others' requests.
     "crowd": Profile(1, 8, 6),
 }
 
 
-class Totals(NamedTuple):
-    """What one engine, or all together, did so far."""
+class EngineTotals(NamedTuple):
+    """The counters of one engine, or the sums over all, since their start.
+
+    The field names are the keys of the stand-in engine's `/v1/stats`.
+    """
 
     started: int
     finished: int
@@ -75,14 +80,14 @@
     cached_tokens: int
 
 
-class Control(NamedTuple):
-    """What the daemons spent so far, all together.
+class DaemonTotals(NamedTuple):
+    """What all daemons together have used since their start.
 
     Attributes:
-        messages: Sent between VMs.
-        size_bytes: Of these messages, without frames and headers.
-        processor_s: Processor time of the daemons, serving included.
-        platform_calls: Calls of the platform's service.
+        messages: Messages sent between VMs.
+        size_bytes: Size of these messages without frames and headers.
+        processor_s: Processor time, that of serving requests included.
+        platform_calls: Calls to the platform.
     """
 
     messages: int
@@ -92,7 +97,14 @@
 
 
 class Site:
-    """A running deployment with customers, and the way to load it."""
+    """A running deployment with customers.
+
+    Attributes:
+        deployment: The processes.
+        profile: The size of the deployment.
+        callers: The customers with their keys and rates; empty until
+            `start`.
+    """
 
     def __init__(
         self,
@@ -110,19 +122,22 @@
 
     @property
     def slots(self) -> int:
-        """All engines' slots."""
+        """The slots of all engines together."""
         return self.profile.engines * self.profile.slots
 
     @property
     def addresses(self) -> list[str]:
-        """Where callers connect; the balancer is any choice of these."""
+        """The callers' addresses of all VMs.
+
+        A random choice among them stands in for the load balancer.
+        """
         return [daemon.callers for daemon in self.deployment.daemons]
 
     def start(self, rate_per_s: float) -> None:
-        """Starts all processes and creates the customers.
+        """Starts all processes, creates the customers and warms up.
 
         Args:
-            rate_per_s: Mean arrivals a second, of all customers.
+            rate_per_s: Mean arrivals per second of all customers together.
         """
         deployment = self.deployment
         deployment.start_platform()
@@ -143,36 +158,36 @@
                 self.profile.slots,
             )
             self._engines.append(process.address())
-        for number, part in enumerate(_PARTS):
+        for number, share in enumerate(_CUSTOMER_SHARES):
             name = f"customer-{number}"
             key = deployment.create_customer(name, _AMPLE_RATE_PER_S)
-            self.callers.append(load.Caller(name, key, part * rate_per_s))
+            self.callers.append(load.Caller(name, key, share * rate_per_s))
         for daemon in deployment.daemons:
             deployment.wait_ready(daemon)
         deployment.wait_in_force()
         self._warm_up()
 
     def _warm_up(self) -> None:
-        """Lets peers connect and rates find their VMs before any phase."""
+        """Sends requests so that peers connect and the limits spread rates."""
         time.sleep(2.0)
         arrivals = load.plan(
             self.callers, self.addresses, load.Shape(), _WARM_UP_S, 0
         )
         load.Run(arrivals).run()
 
-    def keep_busy(self, processes: int) -> None:
-        """Starts processes that compute until the run is over.
+    def start_busy_processes(self, processes: int) -> None:
+        """Starts processes that use processor time until the run is over.
 
-        They make a full machine of a quiet one, for figures that are said
-        to depend on it.
+        They load an idle machine, to measure figures that may depend on the
+        machine's load.
         """
         for number in range(processes):
             self._fleet.start(
-                f"busy-{number}", [sys.executable, "-c", _COMPUTE]
+                f"busy-{number}", [sys.executable, "-c", _BUSY_LOOP_PROGRAM]
             )
 
     def set_row(self, customer: str, rate_per_s: float, burst: float) -> None:
-        """Sets a customer's rate and burst, and waits until in force."""
+        """Sets a customer's rate and burst and waits until they apply."""
         for column, value in (("rate_per_s", rate_per_s), ("burst", burst)):
             self.deployment.check(
                 self.deployment.operate(
@@ -182,11 +197,17 @@
         self.deployment.wait_in_force()
 
     def submit(self, caller: load.Caller, items: int, max_tokens: int) -> str:
-        """Submits a batch job and returns its id."""
-        lines = "".join(_item(index, max_tokens) for index in range(items))
+        """Submits a batch job and returns its id.
+
+        Args:
+            caller: The customer.
+            items: Number of items.
+            max_tokens: Tokens requested per item.
+        """
+        lines = "".join(_item_line(index, max_tokens) for index in range(items))
         address = self.addresses[hash(caller.customer) % len(self.addresses)]
         headers = {"Authorization": f"Bearer {caller.key}"}
-        made = self._pools.request(
+        upload = self._pools.request(
             "POST",
             f"http://{address}/v1/files",
             fields={
@@ -195,7 +216,7 @@
             },
             headers=headers,
         )
-        file_id = json.loads(made.data)["id"]
+        file_id = json.loads(upload.data)["id"]
         job = self._pools.request(
             "POST",
             f"http://{address}/v1/batches",
@@ -208,8 +229,8 @@
         )
         return str(json.loads(job.data)["id"])
 
-    def control(self) -> Control:
-        """Returns what the daemons spent so far."""
+    def daemon_totals(self) -> DaemonTotals:
+        """Returns what the daemons have used since their start."""
         messages = size_bytes = 0
         processor_s = 0.0
         headers = deployment_lib.bearer(deployment_lib.OPERATOR_TOKEN)
@@ -224,27 +245,31 @@
             "GET", self.deployment.platform, "/v1/stats"
         ).value()
         calls = sum(stats["calls"].values())
-        return Control(messages, size_bytes, processor_s, calls)
+        return DaemonTotals(messages, size_bytes, processor_s, calls)
 
     def meter(self) -> spent.Meter:
-        """Begins to measure what all processes spend."""
+        """Starts to measure the processor use of all processes."""
         return spent.Meter(self._fleet)
 
-    def totals(self) -> Totals:
-        """Returns what all engines did so far."""
-        columns = zip(*self.by_engine(), strict=True)
-        return Totals(*(sum(column) for column in columns))
+    def engine_totals(self) -> EngineTotals:
+        """Returns the sums of the counters of all engines."""
+        columns = zip(*self.totals_by_engine(), strict=True)
+        return EngineTotals(*(sum(column) for column in columns))
 
-    def by_engine(self) -> list[Totals]:
-        """Returns what each engine did so far."""
-        found: list[Totals] = []
+    def totals_by_engine(self) -> list[EngineTotals]:
+        """Returns the counters of each engine."""
+        found: list[EngineTotals] = []
         for address in self._engines:
             stats = self.deployment.must("GET", address, "/v1/stats").value()
-            found.append(Totals(*(int(stats[name]) for name in Totals._fields)))
+            found.append(
+                EngineTotals(
+                    *(int(stats[name]) for name in EngineTotals._fields)
+                )
+            )
         return found
 
 
-def _item(index: int, max_tokens: int) -> str:
+def _item_line(index: int, max_tokens: int) -> str:
     item = {
         "custom_id": f"item-{index}",
         "method": "POST",
@@ -258,8 +283,8 @@
     return json.dumps(item) + "\n"
 
 
-def run_folder() -> pathlib.Path:
-    """Returns the folder that results are written to."""
+def results_folder() -> pathlib.Path:
+    """Returns the folder for results, which it creates if missing."""
     folder = pathlib.Path("bench-results")
     folder.mkdir(exist_ok=True)
     return folder
--- a/packages/bench/bench/spent.py
+++ b/packages/bench/bench/spent.py
@@ -1,7 +1,7 @@
-"""What the processes of a run spend, and how late the machine wakes them.
+"""Measures the processor use of a run's processes and their wakeup delays.
 
-A figure of the daemons counts only if the engines and the load tool were not
-the ones that were slow, so each phase tells all of them.
+The daemons' figures are valid only if neither the engines nor the load tool
+were the bottleneck, so each phase reports all of them.
 """
 
 from collections.abc import Mapping
@@ -16,25 +16,28 @@
 
 _SLEEP_S = 0.005
 _US = 1_000_000
-_DIGITS = 3
+_SIGNIFICANT_DIGITS = 3
 _LONGEST_US = 60 * _US
 PERCENTILES = (50.0, 95.0, 99.0)
-_ENGINE = "engine-"
-_DAEMON = "entry-"
+_ENGINE_PREFIX = "engine-"
+_DAEMON_PREFIX = "entry-"
 
 
-class Processor(NamedTuple):
-    """Parts of a core that processes took in a phase.
+class ProcessorUse(NamedTuple):
+    """The processor use of a phase.
+
+    Processor use is in cores: processor time divided by elapsed time.
 
     Attributes:
-        daemon_mean: Of all daemons.
+        daemon_mean: Mean of all daemons.
         daemon_most: The busiest daemon.
-        engine_mean: Of all stand-in engines.
-        engine_most: The busiest engine.
-        platform: The stand-in of the platform.
-        tool: The load tool itself.
+        engine_mean: Mean of all stand-in engines.
+        engine_most: The busiest stand-in engine.
+        platform: The stand-in platform.
+        tool: The load tool.
         machine_load: The machine's load average of the last minute.
-        tool_late_ms: How late a thread of the load tool that sleeps wakes.
+        tool_late_ms: How late a sleeping thread of the load tool wakes up,
+            by percentile.
     """
 
     daemon_mean: float
@@ -48,7 +51,7 @@
 
 
 def percentiles_ms(recorded: histogram.HdrHistogram) -> dict[str, float]:
-    """Returns the percentiles of recorded microseconds."""
+    """Returns the percentiles of a histogram of microseconds, in ms."""
     return {
         f"p{percent:g}": recorded.get_value_at_percentile(percent) / 1000
         for percent in PERCENTILES
@@ -57,28 +60,30 @@
 
 def new_histogram() -> histogram.HdrHistogram:
     """Returns a histogram of microseconds."""
-    return histogram.HdrHistogram(1, _LONGEST_US, _DIGITS)
+    return histogram.HdrHistogram(1, _LONGEST_US, _SIGNIFICANT_DIGITS)
 
 
 def record_s(recorded: histogram.HdrHistogram, value_s: float) -> None:
-    """Records a time; none is shorter than a microsecond."""
+    """Records a time, as a microsecond if it is shorter."""
     recorded.record_value(max(1, int(value_s * _US)))
 
 
 class Meter:
-    """Measures one phase, from its making to `read`."""
+    """Measures one phase, from the creation of the object to `read`."""
 
     def __init__(self, fleet: fleet_lib.Fleet) -> None:
         self._fleet = fleet
-        self._late = new_histogram()
+        self._wakeup_delays = new_histogram()
         self._is_over = False
         self._begin_s = time.monotonic()
         self._begin = self._used_s()
-        self._thread = threading.Thread(target=self._sleep, daemon=True)
+        self._thread = threading.Thread(
+            target=self._measure_wakeup_delays, daemon=True
+        )
         self._thread.start()
 
-    def read(self) -> Processor:
-        """Ends the phase and returns what was spent in it."""
+    def read(self) -> ProcessorUse:
+        """Ends the phase and returns its processor use."""
         self._is_over = True
         self._thread.join()
         span_s = time.monotonic() - self._begin_s
@@ -86,9 +91,9 @@
             name: (used_s - self._begin.get(name, 0.0)) / span_s
             for name, used_s in self._used_s().items()
         }
-        daemons = _of(used, _DAEMON)
-        engines = _of(used, _ENGINE)
-        return Processor(
+        daemons = _values_with_prefix(used, _DAEMON_PREFIX)
+        engines = _values_with_prefix(used, _ENGINE_PREFIX)
+        return ProcessorUse(
             sum(daemons) / len(daemons),
             max(daemons),
             sum(engines) / len(engines),
@@ -96,7 +101,7 @@
             used["platform"],
             used[""],
             os.getloadavg()[0],
-            percentiles_ms(self._late),
+            percentiles_ms(self._wakeup_delays),
         )
 
     def _used_s(self) -> dict[str, float]:
@@ -106,12 +111,12 @@
         }
         return {**used, "": time.process_time()}
 
-    def _sleep(self) -> None:
+    def _measure_wakeup_delays(self) -> None:
         while not self._is_over:
             due_s = time.monotonic() + _SLEEP_S
             time.sleep(_SLEEP_S)
-            record_s(self._late, time.monotonic() - due_s)
+            record_s(self._wakeup_delays, time.monotonic() - due_s)
 
 
-def _of(used: Mapping[str, float], prefix: str) -> list[float]:
+def _values_with_prefix(used: Mapping[str, float], prefix: str) -> list[float]:
     return [part for name, part in used.items() if name.startswith(prefix)]
--- a/packages/bench/bench/threadtimes.py
+++ b/packages/bench/bench/threadtimes.py
@@ -1,7 +1,7 @@
-"""Runs `bulrushdeald` and tells what its threads have spent so far.
+"""Runs `bulrushdeald` and prints the use of its threads on a signal.
 
-On SIGUSR2 it writes one line to its output: `threads` and a JSON object of
-processor time and wakeups by thread, from Linux's accounting.
+On SIGUSR2, it writes one line to its output: `threads` and a JSON object of
+the processor time and wakeups of each thread, from Linux's accounting.
 """
 
 import json
@@ -13,16 +13,16 @@
 from bulrushdeald import main as daemon_main
 
 MARK = "threads "
-_SWITCHES = "voluntary_ctxt_switches:"
+_SWITCHES_FIELD = "voluntary_ctxt_switches:"
 
 
-class Spent(NamedTuple):
-    """What one thread has spent since it began.
+class ThreadUsage(NamedTuple):
+    """What one thread has used since it began.
 
     Attributes:
-        name: The thread's name.
+        name: Name of the thread.
         processor_s: Processor time.
-        wakeups: How often it waited and ran again.
+        wakeups: Number of times that it ran again after a wait.
     """
 
     name: str
@@ -30,35 +30,35 @@
     wakeups: int
 
 
-def read() -> dict[int, Spent]:
-    """Returns what each thread of this process has spent, by its id."""
+def read_thread_usage() -> dict[int, ThreadUsage]:
+    """Returns what each thread of this process has used, by its native id."""
     names = {thread.native_id: thread.name for thread in threading.enumerate()}
-    found: dict[int, Spent] = {}
+    found: dict[int, ThreadUsage] = {}
     for folder in pathlib.Path("/proc/self/task").iterdir():
         try:
             run_ns = int((folder / "schedstat").read_text().split()[0])
             status = (folder / "status").read_text()
         except OSError:
-            # The thread has just ended.
+            # The thread has ended since the directory was listed.
             continue
         wakeups = next(
             int(line.split()[1])
             for line in status.splitlines()
-            if line.startswith(_SWITCHES)
+            if line.startswith(_SWITCHES_FIELD)
         )
         number = int(folder.name)
-        name = names.get(number, "not of Python")
-        found[number] = Spent(name, run_ns / 1e9, wakeups)
+        name = names.get(number, "non-Python")
+        found[number] = ThreadUsage(name, run_ns / 1e9, wakeups)
     return found
 
 
 def _on_signal(number: int, frame: Any) -> None:
     del number, frame
-    print(MARK + json.dumps(read()), flush=True)
+    print(MARK + json.dumps(read_thread_usage()), flush=True)
 
 
 def main() -> None:
-    """Runs the daemon with the command line that it has."""
+    """Runs the daemon with this process's command line."""
     signal.signal(signal.SIGUSR2, _on_signal)
     daemon_main.main()
 
--- a/tests/bench/test_experiments.py
+++ b/tests/bench/test_experiments.py
@@ -1,4 +1,4 @@
-"""The commands of experiments over real processes: mistakes alone."""
+"""Invalid options of the experiments' commands."""
 
 from cleo.testers import command_tester
 import pytest
@@ -24,13 +24,17 @@
         experiments.OnlineCommand,
     ],
 )
-def test_a_mistake_is_named_before_a_process_starts(
+def test_an_invalid_option_is_reported_before_a_process_starts(
     monkeypatch: pytest.MonkeyPatch,
     kind: type[experiments.ExperimentCommand],
     arguments: str,
     message: str,
 ) -> None:
-    """It showed only once all daemons ran, or as a traceback."""
+    """Invalid options were found only after all daemons had started.
+
+    Some of them ended the command with a traceback. `Fleet` is removed here,
+    so a command that starts a process fails.
+    """
     monkeypatch.delattr("standins.fleet.Fleet")
     with pytest.raises(errors.UserError, match=message):
         command_tester.CommandTester(kind()).execute(arguments)
