--- a/packages/bench/bench/limitfakes.py
+++ b/packages/bench/bench/limitfakes.py
@@ -1,7 +1,7 @@
-"""Small fakes at the interfaces of the limits: platform, peers, clocks.
+"""Fakes of the services that the limits use: platform, peers and clocks.
 
-Tests and `limitcost` join real `EscrowLimits` objects with them. A fake has
-the faults of the real thing as switches; nothing here decides anything.
+Tests and `limitcost` connect real `EscrowLimits` objects with them. The faults
+of the real services can be switched on; the fakes contain no limit logic.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,12 @@
 
 
 class World:
-    """The true time and what happens while a VM sleeps."""
+    """The simulated time that all VMs share.
+
+    Attributes:
+        now_s: The true time.
+        on_sleep: Called whenever a VM sleeps.
+    """
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -28,7 +33,7 @@
 
 
 class VmClock:
-    """One VM's clock, which drifts."""
+    """The clock of one VM, whose monotonic time may drift."""
 
     def __init__(self, world: World, drift: float = 0.0) -> None:
         self._world = world
@@ -43,19 +48,29 @@
         return self._world.now_s
 
     def sleep_s(self, duration_s: float) -> None:
-        """Lets the other VMs do what is due; see `clock.Clock`."""
+        """Calls `World.on_sleep` instead of waiting; see `clock.Clock`."""
         del duration_s
         self._world.on_sleep()
 
 
 class MemoryKeyValue:
-    """The platform's key-value service in memory."""
+    """The platform's key-value service in memory.
+
+    Attributes:
+        entries: The stored entries by key.
+        revision: The revision of the last write.
+        is_out: Whether all calls fail.
+        is_cut: Not read here; a test can set it around a VM's calls.
+        lose_next_answers: Number of next writes that succeed but return the
+            error `unknown`.
+        reads: Number of reads.
+        writes: Number of attempted writes.
+    """
 
     def __init__(self) -> None:
         self.entries: dict[str, services.Entry] = {}
         self.revision = 0
         self.is_out = False
-        # A caller that is cut off; set around its calls.
         self.is_cut: Callable[[], bool] = lambda: False
         self.lose_next_answers = 0
         self.reads = 0
@@ -105,13 +120,13 @@
     def delete(
         self, key: str, expected_revision: int
     ) -> result.Result[None, services.KeyValueError]:
-        """Nobody deletes records of limits."""
+        """Not implemented: the limits delete no records."""
         raise NotImplementedError
 
     def watch(
         self, prefix: str, after_revision: int, timeout_s: float
     ) -> result.Result[tuple[services.Entry, ...], services.KeyValueError]:
-        """Returns soon what changed."""
+        """Returns the entries changed after a revision, within 20 ms."""
         time.sleep(min(timeout_s, 0.02))
         listed = self.list(prefix)
         if isinstance(listed, result.Err):
@@ -122,7 +137,7 @@
 
 
 class CutKeyValue:
-    """The platform as one VM reaches it."""
+    """The platform as seen by one VM, which can be cut off from it."""
 
     def __init__(self, shared: MemoryKeyValue) -> None:
         self._shared = shared
@@ -137,14 +152,34 @@
 
 
 class Queued(NamedTuple):
-    """A message to a VM that is paused; handled late, answer dropped."""
+    """A message that is handled late and whose answer is dropped."""
 
     sender: str
     message: Any
 
 
 class Net:
-    """Carries messages between VMs; the faults are its public fields."""
+    """Carries messages between VMs, with faults set by its attributes.
+
+    Attributes:
+        handlers: Message handlers by VM and message type.
+        is_cut: Returns whether a message from one VM to another fails.
+        paused: VMs that do not run; messages to them are queued.
+        queued: Messages for paused VMs.
+        random: Source of random numbers for the users of the net.
+        lose_next_answers: Number of next calls that are handled but whose
+            answer is lost.
+        lose_next_messages: Number of next calls that are not handled.
+        delay_next_messages: Number of next calls that are handled only by
+            `deliver_late`.
+        delayed: The delayed messages with their target VMs.
+        in_flight: Called once, after the next message is handled and before
+            its answer arrives.
+        counts_bytes: Whether `size_bytes` is counted.
+        messages: Messages between different VMs, answers included.
+        size_bytes: Size of these messages as CBOR.
+        pairs: Senders and targets of all calls between different VMs.
+    """
 
     def __init__(self, seed: int = 0) -> None:
         self.handlers: dict[str, dict[type, Callable[[str, Any], Any]]] = {}
@@ -152,12 +187,10 @@
         self.paused: set[str] = set()
         self.queued: dict[str, list[Queued]] = {}
         self.random = random.Random(seed)
-        # Calls whose answer, or message, is lost or comes late.
         self.lose_next_answers = 0
         self.lose_next_messages = 0
         self.delay_next_messages = 0
         self.delayed: list[tuple[str, Queued]] = []
-        # What happens while the next answer is under way.
         self.in_flight: Callable[[], None] | None = None
         self.counts_bytes = False
         self.messages = 0
@@ -167,7 +200,7 @@
     def call(
         self, sender: str, vm: str, message: Any
     ) -> result.Result[Any, services.PeerError]:
-        """Carries one call."""
+        """Carries one call and returns its answer, or the fault's error."""
         if sender != vm:
             self.pairs.add((sender, vm))
         if vm not in self.handlers or self.is_cut(sender, vm):
@@ -193,7 +226,7 @@
         return result.Ok(answer)
 
     def handle(self, sender: str, vm: str, message: Any) -> Any:
-        """Hands a message to its handler and counts it."""
+        """Passes a message to its handler and counts message and answer."""
         answer = self.handlers[vm][type(message)](sender, message)
         if sender != vm:
             self.messages += 2
@@ -203,21 +236,21 @@
         return answer
 
     def deliver_late(self) -> None:
-        """Hands over the delayed messages; the answers reach nobody."""
+        """Delivers the delayed messages and drops their answers."""
         late, self.delayed = self.delayed, []
         for vm, queued in late:
             if vm in self.handlers and vm not in self.paused:
                 self.handle(queued.sender, vm, queued.message)
 
     def resume(self, vm: str) -> None:
-        """Lets a paused VM run, and work through what came meanwhile."""
+        """Resumes a paused VM, which handles the messages queued for it."""
         self.paused.discard(vm)
         for queued in self.queued.pop(vm, []):
             self.handle(queued.sender, vm, queued.message)
 
 
 class NetPeers:
-    """One VM's `services.Peers` on the net."""
+    """The `services.Peers` of one VM, connected by a `Net`."""
 
     def __init__(self, net: Net, vm: str) -> None:
         self._net = net
@@ -242,7 +275,7 @@
 
 
 class ListedMembership:
-    """The platform's list, shared by all, and one VM's own row."""
+    """One VM's membership: the shared list of VMs and the VM's own row."""
 
     def __init__(
         self, listed: dict[str, records.Vm], own: records.Vm, incarnation: str
@@ -275,7 +308,7 @@
 
 
 class RowsConfig:
-    """The rows in force on one VM."""
+    """The configuration of one VM: the customers' rows in force."""
 
     def __init__(self, rows: dict[str, records.Customer]) -> None:
         self.rows = dict(rows)
@@ -301,7 +334,12 @@
     def apply(
         self, row: records.Customer, opening: records.Opening | None = None
     ) -> None:
-        """Puts a row in force, with what it begins with if it is new."""
+        """Puts a row in force.
+
+        Args:
+            row: The new row of a customer.
+            opening: The customer's opening record, if the row is new.
+        """
         if opening is not None:
             self.openings[row.customer] = opening
         self.rows[row.customer] = row
@@ -310,7 +348,7 @@
 
 
 class Node(NamedTuple):
-    """One VM with its real limits and its fakes."""
+    """One VM with its real `EscrowLimits` and its fakes."""
 
     vm: records.Vm
     limits: limits.EscrowLimits
@@ -319,7 +357,7 @@
 
 
 class Fleet:
-    """VMs joined by the fakes; time moves by hand."""
+    """Several VMs connected by the fakes, in simulated time."""
 
     def __init__(self, rows: tuple[records.Customer, ...]) -> None:
         self.world = World()
@@ -338,13 +376,14 @@
         drift: float = 0.0,
         has_threads: bool = False,
     ) -> Node:
-        """Starts a VM, or the VM's next process, and lists it.
+        """Starts or restarts a VM and lists it.
 
         Args:
-            name: The VM.
+            name: Name of the VM.
             domain: Its failure domain.
             drift: How much faster its clock runs, as a fraction.
-            has_threads: Whether it runs by itself, on the real clock.
+            has_threads: Whether it runs in its own threads on the real
+                clock. Otherwise `tend` and `work` run it.
         """
         self._runs += 1
         vm = records.Vm(name, domain, "entry", f"{name}:1")
@@ -372,7 +411,7 @@
         return node
 
     def kill(self, name: str) -> None:
-        """Ends a VM without warning; the platform lists it for now."""
+        """Crashes a VM, which stays on the platform's list."""
         self.nodes.pop(name)
         self.net.handlers.pop(name)
         self.net.paused.discard(name)
@@ -387,25 +426,25 @@
         ]
 
     def tend(self) -> None:
-        """Lets each VM read the records and do its regular duties."""
+        """Runs `refresh` and `tend` of the limits on each running VM."""
         for node in self.running():
             node.limits.refresh()
             node.limits.tend()
 
     def work(self) -> None:
-        """Lets each VM do what is due at once."""
+        """Runs `work` of the limits on each running VM."""
         for node in self.running():
             node.limits.work()
 
     def settle(self, seconds: int) -> None:
-        """Lets some seconds pass."""
+        """Advances the time in steps of a second, with `tend` after each."""
         for _ in range(seconds):
             self.world.now_s += 1.0
             self.tend()
 
 
 def _settings(vm: str, domain: str) -> defaults.Settings:
-    # Nothing listens or connects here, so any address will do.
+    # No address is listened on or connected to, so all can be the same.
     addresses = dict.fromkeys(
         (
             "callers-address",
