--- a/packages/bench/bench/pagecost.py
+++ b/packages/bench/bench/pagecost.py
@@ -1,4 +1,4 @@
-"""Measures what customers cost in their pages and in memory."""
+"""Measures the size of customers in configuration pages and in memory."""
 
 import gc
 import time
@@ -17,7 +17,11 @@
 
 
 def make_pages(customers: int) -> dict[str, pages.Page]:
-    """Returns pages with so many customers and two keys for each."""
+    """Returns pages with a number of customers, each with two keys.
+
+    Returns:
+        The pages by their key at the platform.
+    """
     rows: dict[str, list[records.Customer]] = {}
     keys: dict[str, list[records.Key]] = {}
     for number in range(customers):
@@ -35,16 +39,16 @@
 
 
 class PageRow(NamedTuple):
-    """What customers cost where they are stored and held.
+    """The cost of storing, holding and changing customers.
 
     Attributes:
-        customers: Customers with two keys each.
-        held_bytes: In memory on each VM, for each customer.
-        largest_page_bytes: The largest value at the platform.
-        bytes_per_key: What one more key adds to its page.
-        decode_ms: Processor time to read the largest page.
+        customers: Number of customers, each with two keys.
+        held_bytes: Memory on each VM, per customer.
+        largest_page_bytes: Size of the largest page at the platform.
+        bytes_per_key: How much one more key adds to its page.
+        decode_ms: Processor time to decode the largest page.
         change_ms: Processor time to apply a change of one row to it.
-        push_bytes: The message that carries this change to a peer.
+        push_bytes: Size of the message that carries this change to a peer.
     """
 
     customers: int
@@ -57,30 +61,30 @@
 
 
 def measure_pages(customers: int) -> PageRow:
-    """Stores, reads and changes the pages of so many customers."""
-    made = make_pages(customers)
-    stored = {key: pages.encode(page) for key, page in made.items()}
+    """Measures the pages of a number of customers."""
+    page_by_key = make_pages(customers)
+    stored = {key: pages.encode(page) for key, page in page_by_key.items()}
     key = max(stored, key=lambda key: len(stored[key]))
-    page = made[key]
-    extra = records.Key("f" * 64, page.customers[0].customer, "key 9", True)
-    longer = page._replace(keys=(*page.keys, extra))
-    began_s = time.process_time()
+    page = page_by_key[key]
+    extra_key = records.Key("f" * 64, page.customers[0].customer, "key 9", True)
+    longer_page = page._replace(keys=(*page.keys, extra_key))
+    start_s = time.process_time()
     for _ in range(_ROUNDS):
         pages.decode(stored[key])
-    decode_s = (time.process_time() - began_s) / _ROUNDS
+    decode_s = (time.process_time() - start_s) / _ROUNDS
     first, *rest = page.customers
-    other = page._replace(customers=(first._replace(weight=7.0), *rest))
+    changed_page = page._replace(customers=(first._replace(weight=7.0), *rest))
     held = pageset.PageSet()
     held.offer(key, 1, page)
-    change = pages.diff(key, page, 1, other, 2)
-    began_s = time.process_time()
+    change = pages.diff(key, page, 1, changed_page, 2)
+    start_s = time.process_time()
     held.change(change)
-    change_s = time.process_time() - began_s
+    change_s = time.process_time() - start_s
     return PageRow(
         customers,
         _held_bytes(stored) / customers,
         len(stored[key]),
-        len(pages.encode(longer)) - len(stored[key]),
+        len(pages.encode(longer_page)) - len(stored[key]),
         1000 * decode_s,
         1000 * change_s,
         len(wire.pack(1, configsync.PushChanges((change,)))),
--- a/packages/bench/bench/peercost.py
+++ b/packages/bench/bench/peercost.py
@@ -1,8 +1,8 @@
-"""Measures what calls between VMs cost: `python -m bench.peercost`.
+"""Measures the cost of calls between VMs: `python -m bench.peercost`.
 
-Runs one VM's peers and those of its partners in this process, each calling
-the first and called by it at a fixed pace. Prints processor time a call, both
-ends together, and what a connection takes in memory and threads.
+Runs the peer services of one VM and its partners in this process. The VM and
+each partner call each other at a fixed rate. Prints the processor time per
+call, both ends together, and the memory and threads per connection end.
 """
 
 import argparse
@@ -25,13 +25,13 @@
 
 
 class Ask(NamedTuple):
-    """About as large as a report of counts."""
+    """A request about as large as a report of in-flight counts."""
 
     counts: tuple[tuple[str, int, int], ...]
 
 
 class Answer(NamedTuple):
-    """About as large as the sums that answer it."""
+    """An answer about as large as the totals that answer such a report."""
 
     counts: tuple[tuple[str, int, int], ...]
 
@@ -43,13 +43,13 @@
     """One line of the table.
 
     Attributes:
-        partners: VMs that call the first and are called by it.
-        connections: Between them, each way one.
-        calls_per_s: That were made.
+        partners: VMs that call the first VM and are called by it.
+        connections: Connections between them, one for each direction.
+        calls_per_s: Calls made per second.
         failed: Calls without an answer.
-        ms_a_call: Processor time of both ends.
-        kb_an_end: Memory that one end of a connection takes.
-        threads_an_end: Threads of one end.
+        ms_a_call: Processor time per call of both ends together.
+        kb_an_end: Memory per end of a connection.
+        threads_an_end: Threads per end of a connection.
     """
 
     partners: int
@@ -62,7 +62,7 @@
 
 
 class _Membership:
-    """A list of VMs that stays as it is."""
+    """A fixed list of VMs."""
 
     def __init__(self, own: records.Vm, rows: Sequence[records.Vm]) -> None:
         self._own = own
@@ -90,8 +90,10 @@
         return self._rows
 
 
-def make(own: records.Vm, rows: Sequence[records.Vm]) -> peers.WebsocketPeers:
-    """Returns the peers of one VM, which answer `Ask`."""
+def make_peers(
+    own: records.Vm, rows: Sequence[records.Vm]
+) -> peers.WebsocketPeers:
+    """Returns the peer service of one VM, which answers `Ask` messages."""
     flags = {
         "vm": own.vm,
         "failure-domain": own.failure_domain,
@@ -104,12 +106,12 @@
     kernel = kernel_lib.Kernel()
     membership = _Membership(own, rows)
     kernel.register(services.MEMBERSHIP, cast(kernel_lib.Service, membership))
-    made = peers.WebsocketPeers(kernel, defaults.read(flags, {}))
-    made.understand(Answer)
-    made.handle(
+    peer_service = peers.WebsocketPeers(kernel, defaults.read(flags, {}))
+    peer_service.understand(Answer)
+    peer_service.handle(
         Ask, services.QuickHandler(lambda vm, message: Answer(message.counts))
     )
-    return made
+    return peer_service
 
 
 def _free_addresses(count: int) -> list[str]:
@@ -119,16 +121,25 @@
     return sorted(found)
 
 
-def process_kb() -> int:
-    """Returns the memory that this process takes now."""
+def resident_kb() -> int:
+    """Returns the resident memory of this process, in KiB."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") // 1024
 
 
-def rows_of(partners: int, listed: int) -> list[records.Vm]:
-    """Returns a list of VMs, of which the last ones are to run."""
+def make_vm_rows(partners: int, listed: int) -> list[records.Vm]:
+    """Returns the rows of a list of VMs.
+
+    Args:
+        partners: Number of partners to run beside the first VM.
+        listed: Least length of the list.
+
+    Returns:
+        The rows; only the last `partners + 1` have addresses to listen on.
+    """
     addresses = _free_addresses(partners + 1)
-    # Those that do not run stand first, for a search from the front.
+    # VMs that do not run come first, so that a search from the front has to
+    # pass them.
     addresses[:0] = ["127.0.0.1:1"] * max(0, listed - len(addresses))
     return [
         records.Vm(f"vm-{number}", "domain-0", "entry", address)
@@ -139,20 +150,27 @@
 def measure(
     partners: int, listed: int, calls_per_s: float, duration_s: float
 ) -> Row:
-    """Measures one size."""
-    all_rows = rows_of(partners, listed)
+    """Measures one size.
+
+    Args:
+        partners: Number of partners.
+        listed: Least length of the list of VMs.
+        calls_per_s: Calls per second, of all VMs together.
+        duration_s: Measured time.
+    """
+    all_rows = make_vm_rows(partners, listed)
     rows = all_rows[-partners - 1 :]
-    all_peers = [make(row, all_rows) for row in rows]
-    for one in all_peers:
-        one.start()
+    all_peers = [make_peers(row, all_rows) for row in rows]
+    for peer_service in all_peers:
+        peer_service.start()
     hub, others = all_peers[0], all_peers[1:]
-    rss_kb, threads = process_kb(), threading.active_count()
+    rss_kb, threads = resident_kb(), threading.active_count()
     for row, other in zip(rows[1:], others, strict=True):
         hub.call(row.vm, MESSAGE, _TIMEOUT_S).unwrap()
         other.call(rows[0].vm, MESSAGE, _TIMEOUT_S).unwrap()
     made = failed = 0
-    began_s, spent_s = time.monotonic(), time.process_time()
-    while time.monotonic() - began_s < duration_s:
+    start_s, spent_s = time.monotonic(), time.process_time()
+    while time.monotonic() - start_s < duration_s:
         turn = made % partners
         if made // partners % 2:
             answer = others[turn].call(rows[0].vm, MESSAGE, _TIMEOUT_S)
@@ -160,10 +178,10 @@
             answer = hub.call(rows[turn + 1].vm, MESSAGE, _TIMEOUT_S)
         failed += answer.is_err()
         made += 1
-        due_s = began_s + made / calls_per_s
+        due_s = start_s + made / calls_per_s
         time.sleep(max(0.0, due_s - time.monotonic()))
     spent_s = time.process_time() - spent_s
-    took_s = time.monotonic() - began_s
+    took_s = time.monotonic() - start_s
     ends = 4 * partners
     found = Row(
         partners,
@@ -171,11 +189,11 @@
         made / took_s,
         failed,
         1000 * spent_s / made,
-        (process_kb() - rss_kb) / ends,
+        (resident_kb() - rss_kb) / ends,
         (threading.active_count() - threads) / ends,
     )
-    for one in all_peers:
-        one.stop(1.0)
+    for peer_service in all_peers:
+        peer_service.stop(1.0)
     return found
 
 
--- a/packages/bench/bench/peermemory.py
+++ b/packages/bench/bench/peermemory.py
@@ -1,7 +1,7 @@
-"""Measures a VM's connections in memory: `python -m bench.peermemory`.
+"""Measures the memory of a VM's connections: `python -m bench.peermemory`.
 
-The VM's peers run alone in this process and those of its partners in another
-one, so that only its own ends of the connections are counted.
+The VM's peer service runs alone in this process, and those of its partners
+run in another, so that only the VM's ends of the connections are counted.
 """
 
 import argparse
@@ -18,8 +18,12 @@
 _ROUNDS = 10
 
 
-def _line(child: subprocess.Popen[str], text: str) -> None:
-    """Sends the other process a line and waits for its answer."""
+def _exchange_line(child: subprocess.Popen[str], text: str) -> None:
+    """Sends a line to the other process and waits for its answer.
+
+    Raises:
+        RuntimeError: The other process has ended.
+    """
     assert child.stdin is not None
     assert child.stdout is not None
     print(text, file=child.stdin, flush=True)
@@ -29,8 +33,8 @@
 
 def measure(partners: int) -> None:
     """Measures one size and prints it."""
-    rows = peercost.rows_of(partners, 0)
-    hub = peercost.make(rows[0], rows)
+    rows = peercost.make_vm_rows(partners, 0)
+    hub = peercost.make_peers(rows[0], rows)
     hub.start()
     child = subprocess.Popen(
         [sys.executable, "-m", "bench.peermemory", "--child"],
@@ -39,13 +43,13 @@
         text=True,
     )
     try:
-        _line(child, json.dumps(codec.to_object(rows)))
-        kb, threads = peercost.process_kb(), threading.active_count()
+        _exchange_line(child, json.dumps(codec.to_object(rows)))
+        kb, threads = peercost.resident_kb(), threading.active_count()
         for _ in range(_ROUNDS):
             for row in rows[1:]:
                 hub.call(row.vm, peercost.MESSAGE, _TIMEOUT_S).unwrap()
-            _line(child, "call")
-        kb = peercost.process_kb() - kb
+            _exchange_line(child, "call")
+        kb = peercost.resident_kb() - kb
         threads = threading.active_count() - threads
     finally:
         child.terminate()
@@ -55,17 +59,17 @@
     hub.stop(1.0)
 
 
-def _be_partners() -> None:
+def _run_partners() -> None:
     rows = tuple(
         codec.from_plain(records.Vm, row) for row in json.loads(input())
     )
-    others = [peercost.make(row, rows) for row in rows[1:]]
-    for one in others:
-        one.start()
+    partners = [peercost.make_peers(row, rows) for row in rows[1:]]
+    for partner in partners:
+        partner.start()
     print("ready", flush=True)
     while input():
-        for one in others:
-            one.call(rows[0].vm, peercost.MESSAGE, _TIMEOUT_S).unwrap()
+        for partner in partners:
+            partner.call(rows[0].vm, peercost.MESSAGE, _TIMEOUT_S).unwrap()
         print("called", flush=True)
 
 
@@ -73,10 +77,12 @@
     """Measures each size and prints a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--partners", default="4,16,40,75")
-    parser.add_argument("--child", action="store_true", help="for itself")
+    parser.add_argument(
+        "--child", action="store_true", help="run the partners; internal"
+    )
     flags = parser.parse_args()
     if flags.child:
-        _be_partners()
+        _run_partners()
         return
     print("| partners | ends | KB in all | KB an end | threads |")
     print("|---|---|---|---|---|")
--- a/packages/bench/bench/relay.py
+++ b/packages/bench/bench/relay.py
@@ -1,8 +1,8 @@
-"""Measures the processor time that one relayed token costs the daemon.
+"""Measures the daemon's processor time per relayed token.
 
-The daemon's path and each engine run in processes of their own. For each
-number of streams it prints the processor time of the daemon's process
-divided by the tokens that the clients received.
+The daemon's callers' path and each engine run in processes of their own. For
+each number of streams, prints the processor time of the daemon's process
+divided by the number of tokens that the clients received.
 """
 
 import argparse
@@ -28,15 +28,16 @@
 _SPARE_THREADS = 50
 
 
-class Reading(NamedTuple):
-    """One measured number of streams.
+class Measurement(NamedTuple):
+    """The measurement for one number of streams.
 
     Attributes:
-        streams: Streams that ran at once.
-        tokens_per_s: Tokens that the clients received.
-        cores: Processor time of the daemon's process a second.
-        ms_per_token: Processor time of the daemon's process a token.
-        first_token_p99_s: From the request to the first token.
+        streams: Number of concurrent streams.
+        tokens_per_s: Tokens per second that the clients received.
+        cores: Processor time of the daemon's process per second.
+        ms_per_token: Processor time of the daemon's process per token.
+        first_token_p99_s: 99th percentile of the time from a request to its
+            first token.
     """
 
     streams: int
@@ -47,8 +48,15 @@
 
 
 @contextlib.contextmanager
-def process(*arguments: str) -> Iterator[tuple[int, str]]:
-    """Runs a module; gives its process number and address."""
+def run_module(*arguments: str) -> Iterator[tuple[int, str]]:
+    """Runs a module as a process and kills the process on exit.
+
+    Args:
+        arguments: The module and its arguments.
+
+    Yields:
+        The process id and the address that the module prints.
+    """
     child = subprocess.Popen(
         [sys.executable, "-m", *arguments], stdout=subprocess.PIPE, text=True
     )
@@ -61,16 +69,21 @@
 
 
 def processor_s(pid: int) -> float:
-    """Returns the processor time that a process has used, in all threads."""
+    """Returns the processor time that all threads of a process have used."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rpartition(")")[2].split()
-    # The name in parentheses and the two fields before it are cut off.
+    # The process id and the name in parentheses are cut off, so the indexes
+    # are lower by two.
     ticks = int(fields[_UTIME_FIELD - 2]) + int(fields[_STIME_FIELD - 2])
     return ticks / _TICKS_PER_S
 
 
 class Clients:
-    """Streams that are asked for again and again until stopped."""
+    """Clients that each repeat a streaming request until stopped.
+
+    Attributes:
+        first_tokens_s: Times from a request to its first token.
+    """
 
     def __init__(self, address: str, streams: int, tokens: int) -> None:
         host, _, port = address.rpartition(":")
@@ -87,7 +100,7 @@
             thread.start()
 
     def tokens(self) -> int:
-        """Returns the tokens received so far."""
+        """Returns the number of tokens received so far."""
         return sum(self._counts)
 
     def stop(self) -> None:
@@ -97,8 +110,8 @@
             thread.join()
 
     def _run(self, index: int) -> None:
-        # Spread over one token's time, as callers that know nothing of
-        # each other are.
+        # The starts are spread over the time of one token, as independent
+        # callers do not start together.
         time.sleep(index * 0.042 / len(self._counts))
         while not self._is_stopping:
             self._stream(index)
@@ -134,8 +147,16 @@
 
 def measure(
     daemon_pid: int, address: str, streams: int, tokens: int, duration_s: float
-) -> Reading:
-    """Measures one number of streams."""
+) -> Measurement:
+    """Measures one number of streams.
+
+    Args:
+        daemon_pid: Process id of the daemon.
+        address: The daemon's address for callers.
+        streams: Number of concurrent streams.
+        tokens: Tokens per stream.
+        duration_s: Measured time, after a warm-up of 1 s.
+    """
     clients = Clients(address, streams, tokens)
     time.sleep(_WARM_UP_S)
     begin_s = time.monotonic()
@@ -146,7 +167,7 @@
     used_s = processor_s(daemon_pid) - begin[1]
     clients.stop()
     firsts = sorted(clients.first_tokens_s)
-    return Reading(
+    return Measurement(
         streams,
         count / took_s,
         used_s / took_s,
@@ -158,7 +179,9 @@
 def main() -> None:
     """Measures and prints one line for each number of streams."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--streams", default="50,100,200", help="with commas")
+    parser.add_argument(
+        "--streams", default="50,100,200", help="separated by commas"
+    )
     parser.add_argument("--tokens", type=int, default=200)
     parser.add_argument("--token-s", type=float, default=0.042)
     parser.add_argument("--duration-s", type=float, default=8.0)
@@ -168,7 +191,7 @@
     with contextlib.ExitStack() as stack:
         engines = [
             stack.enter_context(
-                process(
+                run_module(
                     "standins.engine",
                     *("--models", staticvm.MODEL),
                     *("--token-s", str(flags.token_s)),
@@ -180,22 +203,22 @@
         ]
         addresses = ",".join(address for _, address in engines)
         pid, address = stack.enter_context(
-            process(
+            run_module(
                 "bench.staticvm",
                 *("--engines", addresses),
                 *("--threads", str(max(counts) + _SPARE_THREADS)),
             )
         )
         for count in counts:
-            reading = measure(
+            measurement = measure(
                 pid, address, count, flags.tokens, flags.duration_s
             )
             print(
-                f"{reading.streams} streams:"
-                f" {reading.tokens_per_s:.0f} tokens/s,"
-                f" {reading.cores:.2f} cores,"
-                f" {reading.ms_per_token:.3f} ms a token,"
-                f" first token p99 {reading.first_token_p99_s:.3f} s"
+                f"{measurement.streams} streams:"
+                f" {measurement.tokens_per_s:.0f} tokens/s,"
+                f" {measurement.cores:.2f} cores,"
+                f" {measurement.ms_per_token:.3f} ms a token,"
+                f" first token p99 {measurement.first_token_p99_s:.3f} s"
             )
 
 
--- a/packages/bench/bench/routecost.py
+++ b/packages/bench/bench/routecost.py
@@ -1,9 +1,9 @@
-"""Processor time of routing, and bytes of the counts between VMs.
+"""Measures the processor time of routing and the size of count reports.
 
-`python -m bench.routecost` builds one router over more and more upstreams
-and entry VMs of one failure domain, with no network, and prints for each
-size the time of one acquire and release, of building the topology, and the
-size of one report and its answer.
+`python -m bench.routecost` builds one router without a network for each of
+several numbers of upstreams and entry VMs. For each size it prints the time
+of one acquire and release, the time of building the topology, the sizes of
+one report and its answer, and the memory of the topology.
 """
 
 import time
@@ -29,7 +29,7 @@
 
 
 class Size(NamedTuple):
-    """How many upstreams and entry VMs, in how many failure domains."""
+    """The numbers of upstreams, entry VMs and failure domains."""
 
     upstreams: int
     vms: int
@@ -37,14 +37,14 @@
 
 
 class Cost(NamedTuple):
-    """What one size costs.
+    """The cost at one size.
 
     Attributes:
         size: The size.
         acquire_us: Processor time of one acquire and release.
         topology_ms: Processor time of building the topology once.
-        report_bytes: One VM's report to one owner that it uses.
-        answer_bytes: The owner's answer.
+        report_bytes: Size of a report from a VM to an owner.
+        answer_bytes: Size of the owner's answer.
         state_mb: Memory of the rows of upstreams and VMs and the topology.
     """
 
@@ -64,8 +64,8 @@
 )
 
 
-class _Peers(staticvm.StaticService):
-    """Peers that are never reached."""
+class _UnreachablePeers(staticvm.StaticService):
+    """Peers that are always unreachable."""
 
     def handle(self, kind: type[Any], handler: Any) -> None:
         """See `services.Peers`."""
@@ -142,17 +142,18 @@
     kernel = kernel_lib.Kernel()
     kernel.register(services.CONFIG, _Config(*_upstreams(size)))
     kernel.register(services.MEMBERSHIP, _Membership(_vms(size)))
-    kernel.register(services.PEERS, _Peers())
+    kernel.register(services.PEERS, _UnreachablePeers())
     clock = clock_lib.FakeClock()
     router = router_lib.UpstreamRouter(kernel, staticvm.settings(), clock)
     router.start()
-    # Its threads find nobody to talk to and would only blur the figures.
+    # The router's threads have no reachable peers and would only distort the
+    # measurement.
     router.stop(0)
     return router
 
 
 def measure(size: Size) -> Cost:
-    """Returns the cost at one size."""
+    """Measures the cost at one size."""
     router = _router(size)
     work = services.Work(
         "customer-1", "online", "model-01", "", b"prefix", 100, "f", 30.0
@@ -180,15 +181,15 @@
 def _state_mb(size: Size) -> float:
     tracemalloc.start()
     vms = _vms(size)
-    kept = topology.build(_upstreams(size), vms, vms[0])
+    topology_in_use = topology.build(_upstreams(size), vms, vms[0])
     used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del topology_in_use
     return used_bytes / 1e6
 
 
 def main() -> None:
-    """Prints a line for each size."""
+    """Measures each size and prints a line for it."""
     print(
         "upstreams vms domains acquire_us topology_ms report_B answer_B"
         " state_MB"
--- a/packages/bench/bench/staticvm.py
+++ b/packages/bench/bench/staticvm.py
@@ -1,7 +1,8 @@
-"""The callers' path of one VM on its own, with everything else standing.
+"""The callers' path of one VM, with fixed fakes of all other services.
 
-The services around the path answer from memory: one key, no limits, slots
-without end given in turn. So what is measured is the path alone.
+The other services answer from memory: two customers with one key each, no
+limits, and unlimited slots given in turn. So a measurement shows the cost of
+the path alone.
 """
 
 import argparse
@@ -26,12 +27,16 @@
 
 
 def hash_of(key: str) -> str:
-    """Returns the name that a key is known by."""
+    """Returns the hash of a key, under which the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def settings(**changes: Any) -> defaults.Settings:
-    """Returns settings for loopback with free ports."""
+    """Returns settings for loopback with free ports.
+
+    Args:
+        changes: Settings other than these and the defaults.
+    """
     flags = {
         "vm": "vm-1",
         "failure-domain": "nairobi-1",
@@ -45,7 +50,7 @@
 
 
 class StaticService:
-    """A service without a life of its own."""
+    """A service without threads or state; the base class of the fakes."""
 
     def start(self) -> None:
         """See `kernel.Service`."""
@@ -59,12 +64,12 @@
 
 
 class StaticConfig(StaticService):
-    """Two customers with a key each, and the upstreams given.
+    """A configuration of two customers with one key each and some upstreams.
 
     Attributes:
         rows: The upstreams.
         withdrawn: Hashes of withdrawn keys.
-        is_ready: Whether there is a configuration at all.
+        is_ready: Whether the VM has received a configuration.
     """
 
     def __init__(self, *rows: records.Upstream) -> None:
@@ -113,14 +118,19 @@
         self._callbacks.append(callback)
 
     def withdraw(self, key: str) -> None:
-        """Withdraws a key."""
+        """Withdraws a key and calls the callbacks for changes."""
         self.withdrawn.add(hash_of(key))
         for callback in self._callbacks:
             callback()
 
 
 class StaticLimits(StaticService):
-    """Counts requests and refuses none unless told to."""
+    """Counts requests and refuses none by default.
+
+    Attributes:
+        taken: Number of requests.
+        refusal: The refusal of all requests, if set.
+    """
 
     def __init__(self) -> None:
         self.taken = 0
@@ -157,14 +167,25 @@
         """See `services.Slot`."""
 
     def release(self, outcome: services.Outcome) -> None:
-        """Notes the outcome; a second call is an error."""
+        """Records the outcome and frees the slot.
+
+        Raises:
+            ValueError: The slot has been released before.
+        """
         with self._owner.lock:
             self._owner.held.remove(self)
             self._owner.outcomes.append(outcome)
 
 
 class TurnRouter(StaticService):
-    """Gives slots in turn, without end."""
+    """Gives an unlimited number of slots, with the upstreams in turn.
+
+    Attributes:
+        lock: Guards the other attributes.
+        held: Slots not yet released.
+        outcomes: Outcomes of the released slots.
+        works: The work of all requests for a slot.
+    """
 
     def __init__(self, config: StaticConfig) -> None:
         self._config = config
@@ -191,7 +212,7 @@
 
 
 class StaticUsage(StaticService):
-    """Keeps the events."""
+    """Keeps all usage events in memory."""
 
     def __init__(self) -> None:
         self.events: list[services.UsageEvent] = []
@@ -202,7 +223,7 @@
 
 
 class StaticMembership(StaticService):
-    """One VM, and others that are listed unless told otherwise."""
+    """The membership of one VM; all VMs are listed but those excluded."""
 
     def __init__(self, vm: str, unlisted: set[str]) -> None:
         self._own = records.Vm(vm, "nairobi-1", "entry")
@@ -230,8 +251,9 @@
 
     Args:
         rows: The upstreams.
-        keyvalue: The platform's service; `None` for one that is not asked.
-        unlisted: The VMs that the platform's list does not name.
+        keyvalue: The platform's key-value service; `None` for a fake without
+            its methods, if the path does not use it.
+        unlisted: VMs that are not on the platform's list.
         changes: Settings other than the defaults.
     """
 
@@ -249,9 +271,10 @@
         self.settings = settings(**changes)
         self.kernel = kernel_lib.Kernel()
         self.callers = callers.CallersServer(self.kernel, self.settings)
-        # The set may be shared and change later, so an empty one is kept.
-        others = set() if unlisted is None else unlisted
-        membership = StaticMembership(self.settings.vm, others)
+        # The caller may change its set later, so even an empty one is used
+        # itself and not replaced.
+        unlisted_vms = set() if unlisted is None else unlisted
+        membership = StaticMembership(self.settings.vm, unlisted_vms)
         for name, service in (
             (services.KEYVALUE, keyvalue or StaticService()),
             (services.MEMBERSHIP, membership),
@@ -271,16 +294,16 @@
 
 
 def engine_row(address: str, name: str = "engine-1") -> records.Upstream:
-    """Returns the row of an engine."""
+    """Returns the row of an engine as an upstream."""
     return records.Upstream(
         name, "engine", address, "vm-up", "nairobi-1", (MODEL,)
     )
 
 
 def main() -> None:
-    """Runs the path as a process until it is ended."""
+    """Runs the callers' path until the process is ended."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--engines", required=True, help="with commas")
+    parser.add_argument("--engines", required=True, help="separated by commas")
     parser.add_argument("--threads", type=int, default=300)
     flags = parser.parse_args()
     rows = [
