--- a/packages/standins/standins/cutlink.py
+++ b/packages/standins/standins/cutlink.py
@@ -1,8 +1,8 @@
 """A TCP link between two processes that can be cut and healed.
 
-A cut link behaves as a network that drops all packets: connections stay
-open and bring nothing, new ones open and bring nothing either, and nobody is
-told. What was sent meanwhile arrives after the link is healed, late.
+A cut link behaves like a network that drops all packets: existing and new
+connections are open but deliver no data, and neither end sees an error. Data
+sent while the link is cut is delivered after the link is healed.
 """
 
 from collections.abc import Callable
@@ -15,23 +15,23 @@
 
 
 class CutLink:
-    """Forwards connections to one address.
+    """Forwards TCP connections to one target address.
 
     Attributes:
-        address: Where to connect to in the target's place.
+        address: The `HOST:PORT` that clients connect to instead of the target.
     """
 
     def __init__(self, target: str) -> None:
         self._target = target
-        self._passes = threading.Event()
-        self._passes.set()
+        self._healed = threading.Event()
+        self._healed.set()
         self._listener = socket.create_server(
             ("127.0.0.1", 0), backlog=_BACKLOG
         )
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self._lock = threading.Lock()
-        self._open: set[socket.socket] = set()
-        _thread(self._accept)
+        self._sockets: set[socket.socket] = set()
+        _start_thread(self._accept)
 
     def __enter__(self) -> "CutLink":
         return self
@@ -40,31 +40,31 @@
         self.close()
 
     def cut(self) -> None:
-        """Lets nothing through any more."""
-        self._passes.clear()
+        """Stops forwarding on all connections, existing and new."""
+        self._healed.clear()
 
     def heal(self) -> None:
-        """Lets all through, first what is under way."""
-        self._passes.set()
+        """Forwards again, beginning with the data held back by the cut."""
+        self._healed.set()
 
     def close(self) -> None:
-        """Ends the link and its connections."""
+        """Closes the listening socket and all connections."""
         self._listener.close()
-        self._passes.set()
+        self._healed.set()
         with self._lock:
-            ends = tuple(self._open)
+            ends = tuple(self._sockets)
         for end in ends:
-            _shut(end)
+            _shut_down(end)
 
     def _accept(self) -> None:
-        # An error when the link is closed.
+        # `close` makes `accept` fail.
         with contextlib.suppress(OSError):
             while True:
                 accepted, _ = self._listener.accept()
-                _thread(self._join, accepted)
+                _start_thread(self._relay, accepted)
 
-    def _join(self, accepted: socket.socket) -> None:
-        self._passes.wait()
+    def _relay(self, accepted: socket.socket) -> None:
+        self._healed.wait()
         host, _, port = self._target.rpartition(":")
         try:
             connected = socket.create_connection((host, int(port)))
@@ -73,27 +73,27 @@
             return
         ends = {accepted, connected}
         with self._lock:
-            self._open |= ends
-        back = _thread(self._forward, connected, accepted)
+            self._sockets |= ends
+        reverse = _start_thread(self._forward, connected, accepted)
         self._forward(accepted, connected)
-        back.join()
+        reverse.join()
         with self._lock:
-            self._open -= ends
+            self._sockets -= ends
         for end in ends:
             end.close()
 
     def _forward(self, source: socket.socket, target: socket.socket) -> None:
-        # An error ends both directions, as with a connection that is reset.
+        # An error in one direction ends both, as when a connection is reset.
         with contextlib.suppress(OSError):
             while data := source.recv(_READ_BYTES):
-                self._passes.wait()
+                self._healed.wait()
                 target.sendall(data)
-        self._passes.wait()
-        _shut(source)
-        _shut(target)
+        self._healed.wait()
+        _shut_down(source)
+        _shut_down(target)
 
 
-def _thread(
+def _start_thread(
     target: Callable[..., None], *arguments: socket.socket
 ) -> threading.Thread:
     thread = threading.Thread(
@@ -103,7 +103,7 @@
     return thread
 
 
-def _shut(end: socket.socket) -> None:
-    # An error if the other end was faster.
+def _shut_down(end: socket.socket) -> None:
+    # Fails if the peer has closed the connection already.
     with contextlib.suppress(OSError):
         end.shutdown(socket.SHUT_RDWR)
--- a/packages/standins/standins/demo.py
+++ b/packages/standins/standins/demo.py
@@ -1,4 +1,4 @@
-"""Shows the whole system on loopback, step by step, and stops it again."""
+"""Demonstrates the whole system on loopback, step by step, then stops it."""
 
 from collections.abc import Callable, Iterator
 import contextlib
@@ -12,17 +12,21 @@
 from standins import deployment as deployment_lib
 from standins import fleet as fleet_lib
 
-_ITEMS = 300
+_ITEM_COUNT = 300
 _JOB_S = 120.0
-_REFUSED_S = 12.0
-_USAGE_S = 30.0
+_REFUSAL_TIMEOUT_S = 12.0
+_USAGE_TIMEOUT_S = 30.0
 _UNAUTHORIZED = 401
 _OK = 200
 _CUSTOMER = "demo"
 
 
 class Demo:
-    """Each step prints what it does and raises `FleetError` if it fails."""
+    """The steps of the demo.
+
+    Each step prints its result and raises `FleetError` if it fails. The heading
+    printed above a step is the step's doc comment.
+    """
 
     def __init__(
         self, deployment: deployment_lib.Deployment, folder: pathlib.Path
@@ -42,7 +46,7 @@
         deployment.add_engine("engine-a", "north")
         deployment.add_engine("engine-b", "south")
         deployment.add_plain("orders-a", "north")
-        self._say(deployment.operate("vm", "list"))
+        self._print_output(deployment.operate("vm", "list"))
 
     def create_customer(self) -> None:
         """Creates a customer and a key, and waits until they are in force."""
@@ -50,10 +54,10 @@
         for daemon in self._deployment.daemons:
             self._deployment.wait_ready(daemon)
         self._deployment.wait_in_force()
-        self._say(self._deployment.operate("table", "show"))
+        self._print_output(self._deployment.operate("table", "show"))
 
-    def exports(self) -> Iterator[str]:
-        """Yields the lines that set a shell up for the command line."""
+    def shell_exports(self) -> Iterator[str]:
+        """Yields the shell commands that configure the command line client."""
         daemons = self._deployment.daemons
         operators = ",".join(daemon.operators for daemon in daemons)
         callers = ",".join(daemon.callers for daemon in daemons)
@@ -64,8 +68,8 @@
         yield f"export BULRUSHDEAL_KEY={self._key}"
 
     def chat(self) -> None:
-        """Streams one answer, token by token."""
-        self._say(
+        """Streams one completion, token by token."""
+        self._print_output(
             self._deployment.as_customer(
                 self._deployment.daemons[0],
                 self._key,
@@ -79,17 +83,19 @@
         )
 
     def run_job(self) -> None:
-        """Submits a job at one daemon and reads its results at the other."""
+        """Submits a job to one daemon and reads its results from the other."""
         first, second = self._deployment.daemons
         items = self._folder / "items.jsonl"
-        items.write_text("".join(_item(index) for index in range(_ITEMS)))
+        items.write_text(
+            "".join(_request_line(index) for index in range(_ITEM_COUNT))
+        )
         submitted = self._deployment.check(
             self._deployment.as_customer(
                 first, self._key, "job", "submit", str(items), "--json"
             )
         )
         job = json.loads(submitted.output[submitted.output.index("{") :])["id"]
-        print(f"Submitted {_ITEMS} items as job {job}.")
+        print(f"Submitted {_ITEM_COUNT} items as job {job}.")
         results = self._folder / "results.jsonl"
         self._deployment.check(
             self._deployment.as_customer(
@@ -105,12 +111,14 @@
         )
         lines = results.read_text().splitlines()
         ids = {json.loads(line)["custom_id"] for line in lines}
-        print(f"Read {len(lines)} results of {len(ids)} different items.")
-        _expect(len(lines) == len(ids) == _ITEMS, "one result for each item")
-        self._say(self._deployment.operate("job", "list"))
+        print(f"Read {len(lines)} results for {len(ids)} distinct items.")
+        _require(
+            len(lines) == len(ids) == _ITEM_COUNT, "one result for each item"
+        )
+        self._print_output(self._deployment.operate("job", "list"))
 
     def call_plain_service(self) -> None:
-        """Confirms an order once."""
+        """Sends one request to the plain service: confirms an order."""
         answer = self._deployment.call(
             "POST",
             self._deployment.daemons[1].callers,
@@ -119,20 +127,22 @@
             deployment_lib.bearer(self._key),
         )
         print(f"{answer.status} {answer.body.decode()}")
-        _expect(answer.status == _OK, "the order is confirmed")
+        _require(answer.status == _OK, "the order is confirmed")
 
     def withdraw_key(self) -> None:
-        """Withdraws the key and waits for the refusal on both daemons."""
+        """Withdraws the key and waits until both daemons refuse it."""
         listed = self._deployment.check(
             self._deployment.operate("key", "list", "--json")
         )
         key_hash = json.loads(listed.output)["keys"][0]["key_hash"]
         began_s = time.monotonic()
-        self._say(self._deployment.operate("key", "withdraw", key_hash))
+        self._print_output(
+            self._deployment.operate("key", "withdraw", key_hash)
+        )
         for daemon in self._deployment.daemons:
             answer = fleet_lib.poll(
                 lambda daemon=daemon: self._refused(daemon),  # type: ignore[misc]
-                _REFUSED_S,
+                _REFUSAL_TIMEOUT_S,
                 f"{daemon.vm} refuses the key",
             )
             took_s = time.monotonic() - began_s
@@ -142,9 +152,13 @@
             )
 
     def report(self) -> None:
-        """Shows the usage report once all is in it."""
-        fleet_lib.poll(self._is_all_counted, _USAGE_S, "the report counts all")
-        self._say(self._deployment.operate("usage"))
+        """Waits until the usage report is complete, then shows it."""
+        fleet_lib.poll(
+            self._is_usage_complete,
+            _USAGE_TIMEOUT_S,
+            "the usage report counts all requests",
+        )
+        self._print_output(self._deployment.operate("usage"))
 
     def _refused(
         self, daemon: deployment_lib.Daemon
@@ -157,7 +171,7 @@
         )
         return answer if answer.status == _UNAUTHORIZED else None
 
-    def _is_all_counted(self) -> bool:
+    def _is_usage_complete(self) -> bool:
         shown = self._deployment.operate("usage", "--json")
         if shown.code != 0:
             return False
@@ -166,14 +180,14 @@
         for row in rows:
             if row["outcome"] == "ok":
                 counted[row["work_class"]] += row["requests"]
-        # One chat, one order and the job's items.
-        return counted == {"online": 2, "batch": _ITEMS}
+        # One chat and one order online, and the items of the job.
+        return counted == {"online": 2, "batch": _ITEM_COUNT}
 
-    def _say(self, command: deployment_lib.Command) -> None:
+    def _print_output(self, command: deployment_lib.Command) -> None:
         print(self._deployment.check(command).output.rstrip("\n"))
 
 
-def _item(index: int) -> str:
+def _request_line(index: int) -> str:
     item = {
         "custom_id": f"item-{index}",
         "method": "POST",
@@ -187,9 +201,9 @@
     return json.dumps(item) + "\n"
 
 
-def _expect(is_true: bool, what: str) -> None:
-    if not is_true:
-        raise fleet_lib.FleetError(f"Expected: {what}.")
+def _require(condition: bool, what: str) -> None:
+    if not condition:
+        raise fleet_lib.FleetError(f"Check failed: {what}.")
 
 
 def _steps(demo: Demo) -> Iterator[Callable[[], None]]:
@@ -202,29 +216,38 @@
     yield demo.report
 
 
-def _stay(demo: Demo) -> None:
-    """Starts all, says how to reach it, and waits for Ctrl-C."""
-    # A shell starts background jobs with SIGINT ignored.
+def _run_until_interrupted(demo: Demo) -> None:
+    """Starts the system, prints how to reach it, and waits for Ctrl-C."""
+    # The handler is set explicitly, since a shell starts background jobs with
+    # SIGINT ignored. SIGTERM is handled like Ctrl-C.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
     demo.start()
     demo.create_customer()
-    for line in demo.exports():
+    for line in demo.shell_exports():
         print(line)
-    print("\nPaste these into another terminal; Ctrl-C here stops it all.")
+    print("\nPaste these into another terminal; Ctrl-C here stops the demo.")
     with contextlib.suppress(KeyboardInterrupt):
         signal.pause()
     print("Stopping.")
 
 
-def _show(demo: Demo) -> None:
+def _run_steps(demo: Demo) -> None:
     for step in _steps(demo):
         print(f"\n== {(step.__doc__ or '').strip()}", flush=True)
         step()
 
 
 def main(stays: bool = False) -> int:
-    """Runs all steps, or only starts; 0 only if each of them held."""
+    """Runs the demo.
+
+    Args:
+        stays: Whether to start the system and wait for Ctrl-C instead of
+            running all steps.
+
+    Returns:
+        The exit code: 0 if no step failed, else 1.
+    """
     with contextlib.ExitStack() as stack:
         name = stack.enter_context(tempfile.TemporaryDirectory())
         folder = pathlib.Path(name)
@@ -232,16 +255,16 @@
         demo = Demo(deployment_lib.Deployment(fleet), folder)
         try:
             if stays:
-                _stay(demo)
+                _run_until_interrupted(demo)
             else:
-                _show(demo)
+                _run_steps(demo)
         except fleet_lib.FleetError as error:
             print(f"\nThe demo failed: {error}", file=sys.stderr)
             for process in fleet.processes:
                 print(f"--- {process.name}\n{process.tail()}", file=sys.stderr)
             return 1
-    held = "" if stays else "Every step held. "
-    print(f"\n{held}Every process has been stopped.")
+    summary = "" if stays else "All steps succeeded. "
+    print(f"\n{summary}All processes are stopped.")
     return 0
 
 
--- a/packages/standins/standins/deployment.py
+++ b/packages/standins/standins/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes, for the demo and process tests."""
+"""A small deployment of real processes for the demo and process tests."""
 
 from collections.abc import Iterable, Mapping
 import http
@@ -14,43 +14,67 @@
 from standins import fleet as fleet_lib
 
 OPERATOR_TOKEN = "demo-operator"
-_START_S = 30.0
-_CALL_S = 10.0
+_START_TIMEOUT_S = 30.0
+_CALL_TIMEOUT_S = 10.0
 _DAEMON_PROGRAM = "from bulrushdeald import main; main.main()"
-_FIRST_ERROR = 400
+_MIN_ERROR_STATUS = 400
 
 
 class Answer(NamedTuple):
-    """An answer over HTTP; status 0 if there was none."""
+    """The outcome of an HTTP call.
+
+    Attributes:
+        status: The HTTP status; 0 if no answer arrived.
+        headers: The headers of the answer.
+        body: The body of the answer, or the text of the error if none arrived.
+    """
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
     def value(self) -> Any:
-        """Returns the JSON in the body."""
+        """Returns the decoded JSON body."""
         return json.loads(self.body)
 
 
 class Links(NamedTuple):
-    """How a daemon is reached by others, and reaches the platform."""
+    """The links that connect a daemon to the rest of the deployment.
+
+    Attributes:
+        peers: Carries the connections that other daemons open to this one.
+        platform: Carries this daemon's connections to the platform.
+    """
 
     peers: cutlink.CutLink
     platform: cutlink.CutLink
 
     def cut(self) -> None:
-        """Cuts the daemon off, but from its callers and upstreams."""
+        """Cuts both links.
+
+        The daemon still reaches its callers and upstreams. Connections that it
+        opens to other daemons go through the `peers` links of those daemons.
+        """
         for link in self:
             link.cut()
 
     def heal(self) -> None:
-        """Joins the daemon to the others and the platform again."""
+        """Heals both links."""
         for link in self:
             link.heal()
 
 
 class Daemon(NamedTuple):
-    """One `bulrushdeald` and where it listens."""
+    """A `bulrushdeald` process.
+
+    Attributes:
+        vm: The name of its VM.
+        failure_domain: The failure domain of its VM.
+        callers: The `HOST:PORT` where it serves callers.
+        operators: The `HOST:PORT` where it serves operators.
+        peers: The `HOST:PORT` where other daemons reach it.
+        process: The operating system process.
+    """
 
     vm: str
     failure_domain: str
@@ -61,7 +85,12 @@
 
 
 class Command(NamedTuple):
-    """What a run of the command line brought."""
+    """The result of one run of the command line client.
+
+    Attributes:
+        code: The exit code.
+        output: Standard output and standard error.
+    """
 
     code: int
     output: str
@@ -71,22 +100,27 @@
     """The platform, upstreams and daemons of one demo or test.
 
     Attributes:
-        daemon_program: What runs a daemon, as Python source.
+        fleet: Starts and stops the processes.
+        daemons: The daemons started; a replacement takes the place of the
+            daemon it replaces.
+        has_links: Whether daemons started from now on get `Links`.
+        links: The links of each such daemon, by the name of its VM.
+        platform: The `HOST:PORT` of the stand-in platform.
+        daemon_program: The Python source that each daemon process runs.
     """
 
     def __init__(self, fleet: fleet_lib.Fleet) -> None:
         self.fleet = fleet
         self.daemons: list[Daemon] = []
-        # Set before the daemons start, if they are to be cut off.
         self.has_links = False
         self.links: dict[str, Links] = {}
-        # The default of urllib3 sends a request again by itself.
+        # By default urllib3 retries failed requests.
         self._pools = urllib3.PoolManager(retries=False, maxsize=50)
         self.platform = ""
         self.daemon_program = _DAEMON_PROGRAM
 
     def start_platform(self) -> None:
-        """Starts the stand-in of the platform."""
+        """Starts the stand-in for the platform."""
         process = self.start_module("platform", "standins.platform")
         self.platform = process.address()
 
@@ -115,7 +149,7 @@
         self.must("DELETE", self.platform, f"/v1/vms/{vm}")
 
     def set_platform_faults(self, **faults: Any) -> None:
-        """Switches those of the platform's faults that are given."""
+        """Changes the given fields of `platform.Faults` on the platform."""
         self.must("POST", self.platform, "/v1/faults", faults)
 
     def start_daemon(
@@ -124,7 +158,13 @@
         failure_domain: str,
         settings: Mapping[str, str] | None = None,
     ) -> Daemon:
-        """Starts a daemon with a data folder; it may not be ready yet."""
+        """Starts a daemon with a data folder and does not wait for it.
+
+        Args:
+            vm: The name of the daemon's VM, which is added to the VM list.
+            failure_domain: The failure domain of the VM.
+            settings: More command line flags by name, without `--`.
+        """
         addresses = tuple(fleet_lib.free_address() for _ in range(3))
         peers = addresses[-1]
         given = dict(settings or {})
@@ -143,7 +183,7 @@
     def restart_daemon(
         self, daemon: Daemon, settings: Mapping[str, str] | None = None
     ) -> Daemon:
-        """Starts a daemon that has ended again, at the same addresses."""
+        """Replaces a daemon whose process has ended, at the same addresses."""
         self.daemons.remove(daemon)
         addresses = (daemon.callers, daemon.operators, daemon.peers)
         return self._run_daemon(
@@ -187,18 +227,18 @@
         return daemon
 
     def wait_started(self, daemon: Daemon) -> None:
-        """Waits until a daemon answers operators."""
+        """Waits until a daemon answers operators' requests."""
         headers = bearer(OPERATOR_TOKEN)
-        self._wait(daemon, daemon.operators, "/v1/vms", headers)
+        self._wait_ok(daemon, daemon.operators, "/v1/vms", headers)
 
     def wait_ready(self, daemon: Daemon) -> None:
-        """Waits until a daemon takes callers' requests.
+        """Waits until a daemon accepts callers' requests.
 
-        It does so only once there is any configuration.
+        A daemon accepts none before it has a configuration.
         """
-        self._wait(daemon, daemon.callers, "/healthz", {})
+        self._wait_ok(daemon, daemon.callers, "/healthz", {})
 
-    def _wait(
+    def _wait_ok(
         self,
         daemon: Daemon,
         address: str,
@@ -213,12 +253,12 @@
             answer = self.call("GET", address, path, headers=headers)
             return answer.status == http.HTTPStatus.OK
 
-        fleet_lib.poll(is_up, _START_S, f"{daemon.vm} answers {path}")
+        fleet_lib.poll(is_up, _START_TIMEOUT_S, f"{daemon.vm} answers {path}")
 
     def operate(self, *words: str) -> Command:
-        """Runs the operators' command line over all daemons."""
+        """Runs an operator's command with all daemons as its servers."""
         servers = ",".join(daemon.operators for daemon in self.daemons)
-        return self._command(
+        return self._run_command(
             words,
             {
                 "BULRUSHDEAL_SERVER": servers,
@@ -228,7 +268,7 @@
 
     def as_customer(self, daemon: Daemon, key: str, *words: str) -> Command:
         """Runs a customer's command against one daemon."""
-        return self._command(
+        return self._run_command(
             words,
             {"BULRUSHDEAL_CALLERS": daemon.callers, "BULRUSHDEAL_KEY": key},
         )
@@ -290,7 +330,7 @@
         return str(json.loads(made.output)["key"])
 
     def wait_in_force(self) -> None:
-        """Waits until what is stored is in force on every daemon."""
+        """Waits until the stored configuration is in force on every daemon."""
 
         def is_in_force() -> bool:
             shown = self.operate("config", "status", "--json")
@@ -298,17 +338,19 @@
                 return False
             return bool(json.loads(shown.output)["is_in_force_everywhere"])
 
-        fleet_lib.poll(is_in_force, _START_S, "configuration is in force")
+        fleet_lib.poll(
+            is_in_force, _START_TIMEOUT_S, "configuration is in force"
+        )
 
     def check(self, command: Command) -> Command:
-        """Returns a command's output if it succeeded.
+        """Returns the command if it succeeded.
 
         Raises:
-            fleet_lib.FleetError: It did not.
+            fleet_lib.FleetError: The exit code is not 0.
         """
         if command.code != 0:
             raise fleet_lib.FleetError(
-                f"Exit code {command.code}: {command.output}"
+                f"command exited with code {command.code}: {command.output}"
             )
         return command
 
@@ -319,9 +361,9 @@
         path: str,
         value: Any = None,
         headers: Mapping[str, str] | None = None,
-        timeout_s: float = _CALL_S,
+        timeout_s: float = _CALL_TIMEOUT_S,
     ) -> Answer:
-        """Calls once over HTTP; no answer is status 0."""
+        """Makes one HTTP request without retries; see `Answer`."""
         body = None if value is None else json.dumps(value).encode()
         try:
             response = self._pools.request(
@@ -338,15 +380,15 @@
     def must(
         self, method: str, address: str, path: str, value: Any = None
     ) -> Answer:
-        """Calls once and expects success.
+        """Makes one HTTP request that has to succeed.
 
         Raises:
-            fleet_lib.FleetError: There was an error or no answer.
+            fleet_lib.FleetError: No answer arrived, or its status is an error.
         """
         answer = self.call(method, address, path, value)
-        if answer.status == 0 or answer.status >= _FIRST_ERROR:
+        if answer.status == 0 or answer.status >= _MIN_ERROR_STATUS:
             raise fleet_lib.FleetError(
-                f"{method} {path}: {answer.status} {answer.body!r}"
+                f"{method} {path} failed: {answer.status} {answer.body!r}"
             )
         return answer
 
@@ -373,7 +415,7 @@
             words += ["--service", row.service]
         self.check(self.operate(*words))
 
-    def _command(
+    def _run_command(
         self, words: Iterable[str], environment: Mapping[str, str]
     ) -> Command:
         process = self.fleet.start(
@@ -392,5 +434,5 @@
 
 
 def bearer(key: str) -> dict[str, str]:
-    """Returns the header that presents a key."""
+    """Returns the `Authorization` header for a key or token."""
     return {"Authorization": f"Bearer {key}"}
--- a/packages/standins/standins/engine.py
+++ b/packages/standins/standins/engine.py
@@ -1,7 +1,8 @@
 """A stand-in for a model engine that batches continuously.
 
-It holds no model: it takes the time that one would and answers with words
-made from the prompt, so that a crossed or cut answer shows.
+It runs no model. It takes about as long as a model would and derives each
+answer from the prompt, so that tests detect an answer that is truncated or
+belongs to another request.
 """
 
 import argparse
@@ -26,20 +27,21 @@
 
 
 class Timing(NamedTuple):
-    """How long things take. All figures are assumed, not measured.
+    """The simulated timing and capacity. All figures are assumed, not measured.
 
     Attributes:
-        token_s: Time between two tokens of a stream that runs alone.
-        token_per_stream_s: What each running stream adds to that.
-        prefill_s: Time to the first token of an empty prompt.
-        prefill_per_token_s: What each token not in the cache adds to that.
-        max_running: Streams run at once; others queue.
-        cache_blocks: Blocks of prompt prefixes kept, of 256 bytes each.
-        load_lag_s: How old the reported load is.
-        paused_streams: Cancelled streams kept, to be resumed by their
-            `X-Stream-Id`; 0 if the engine cannot.
-        stamps: 1 to tell in each event of a stream when its token was due
-            and when it was made, on the machine's monotonic clock.
+        token_s: Seconds between two tokens of a stream that runs alone.
+        token_per_stream_s: Seconds that each running stream adds to `token_s`.
+        prefill_s: Seconds to the first token of an empty prompt.
+        prefill_per_token_s: Seconds that each prompt token that is not cached
+            adds to `prefill_s`.
+        max_running: Most requests running at once; others queue.
+        cache_blocks: Most blocks of prompt prefixes cached, of 256 bytes each.
+        load_lag_s: Age of the reported load, in seconds.
+        paused_streams: Most cancelled streams that can be resumed by their
+            `X-Stream-Id`; 0 if the engine cannot resume streams.
+        stamps: 1 to add to each event of a stream when its token was due and
+            when it was sent, on the machine's monotonic clock.
     """
 
     token_s: float = 0.010
@@ -54,14 +56,21 @@
 
 
 class Token(NamedTuple):
-    """One word of an answer, and when it was to be made."""
+    """One word of an answer and its due time on the monotonic clock."""
 
     text: str
     due_s: float
 
 
 class Load(NamedTuple):
-    """How busy the engine was at a moment."""
+    """The load of the engine at one moment.
+
+    Attributes:
+        at_s: The moment, on the monotonic clock.
+        running: Requests running.
+        queued: Requests waiting to run.
+        tokens: Tokens made since the engine started.
+    """
 
     at_s: float
     running: int
@@ -70,19 +79,22 @@
 
 
 def prompt_text(call: dict[str, Any]) -> str:
-    """Returns the prompt of a call as one text."""
+    """Returns the prompt or the messages of a request as one text."""
     prompt = call.get("messages", call.get("prompt", ""))
     return prompt if isinstance(prompt, str) else json.dumps(prompt)
 
 
 def words(prompt: str, count: int) -> list[str]:
-    """Returns the answer to a prompt: each word names prompt and place."""
+    """Returns the words of the answer to a prompt.
+
+    Each word consists of a hash of the prompt and the position of the word.
+    """
     digest = hashlib.sha256(prompt.encode()).hexdigest()[:8]
     return [f"{digest}.{index} " for index in range(count)]
 
 
 class PrefixCache:
-    """Remembers which blocks of prompts were seen lately, bounded."""
+    """A bounded LRU cache of the blocks of prompt prefixes."""
 
     def __init__(self, max_blocks: int) -> None:
         self._max_blocks = max_blocks
@@ -91,7 +103,7 @@
         )
         self._lock = threading.Lock()
 
-    def take(self, prompt: bytes) -> int:
+    def match_and_add(self, prompt: bytes) -> int:
         """Returns how many leading bytes are cached, and caches the rest."""
         digest = hashlib.sha256()
         cached = 0
@@ -100,18 +112,18 @@
             for start in range(0, len(prompt), _BLOCK_BYTES):
                 block = prompt[start : start + _BLOCK_BYTES]
                 digest.update(block)
-                name = digest.digest()
-                is_hit = is_hit and name in self._blocks
+                block_key = digest.digest()
+                is_hit = is_hit and block_key in self._blocks
                 cached += len(block) if is_hit else 0
-                self._blocks[name] = None
-                self._blocks.move_to_end(name)
+                self._blocks[block_key] = None
+                self._blocks.move_to_end(block_key)
             while len(self._blocks) > self._max_blocks:
                 self._blocks.popitem(last=False)
         return cached
 
 
 class PausedStreams:
-    """Remembers how far cancelled streams had come, the latest ones."""
+    """The progress of the latest cancelled streams, by stream key."""
 
     def __init__(self, max_streams: int) -> None:
         self._max_streams = max_streams
@@ -121,7 +133,10 @@
         self._lock = threading.Lock()
 
     def pause(self, stream: str, tokens: int) -> None:
-        """Keeps how many tokens a stream had made when it was cancelled."""
+        """Stores how many tokens a stream had made when it was cancelled.
+
+        A stream with an empty key cannot be resumed and is not stored.
+        """
         if not stream:
             return
         with self._lock:
@@ -130,13 +145,16 @@
                 self._tokens.popitem(last=False)
 
     def resume(self, stream: str) -> int:
-        """Returns how many tokens need not be made again."""
+        """Returns how many tokens the stream had made, and forgets it.
+
+        Returns 0 if the stream is not stored.
+        """
         with self._lock:
             return self._tokens.pop(stream, 0)
 
 
 class Engine(web.Server):
-    """One replica of a model engine."""
+    """The stand-in for one replica of a model engine."""
 
     def __init__(
         self,
@@ -154,7 +172,7 @@
         self._timing = timing or Timing()
         self._cache = PrefixCache(self._timing.cache_blocks)
         self._paused = PausedStreams(self._timing.paused_streams)
-        self._admitting = threading.Condition()
+        self._admission = threading.Condition()
         self._running = 0
         self._queued = 0
         self._tokens = 0
@@ -186,13 +204,13 @@
         if call.get("model") not in self.desk.names():
             exchange.answer_json(404, {"error": {"message": "no such model"}})
             return
-        self._run(exchange, call)
+        self._serve_completion(exchange, call)
 
     def load(self) -> dict[str, float]:
-        """Returns the load as it was some time ago."""
+        """Returns the load as it was `Timing.load_lag_s` ago, for `/load`."""
         now_s = time.monotonic()
-        with self._admitting:
-            self._note_load(now_s)
+        with self._admission:
+            self._record_load(now_s)
             current = self._loads[-1]
             old = self._loads[0]
             for load in self._loads:
@@ -208,7 +226,7 @@
 
     def stats(self) -> dict[str, Any]:
         """See `web.Server`."""
-        with self._admitting:
+        with self._admission:
             state = {"running": self._running, "queued": self._queued}
         counts = {
             "started": 0,
@@ -219,7 +237,9 @@
         }
         return {**counts, **super().stats(), **state, "name": self._name}
 
-    def _run(self, exchange: web.Exchange, call: dict[str, Any]) -> None:
+    def _serve_completion(
+        self, exchange: web.Exchange, call: dict[str, Any]
+    ) -> None:
         self._admit(exchange)
         self.ran(web.fingerprint(exchange.body))
         self.count("started")
@@ -229,42 +249,42 @@
             self.count("cancelled")
             raise
         finally:
-            with self._admitting:
+            with self._admission:
                 self._running -= 1
-                self._note_load(time.monotonic())
-                self._admitting.notify()
+                self._record_load(time.monotonic())
+                self._admission.notify()
         self.count("finished")
 
     def _admit(self, exchange: web.Exchange) -> None:
-        with self._admitting:
+        with self._admission:
             self._queued += 1
             try:
                 while self._running >= self._timing.max_running:
-                    self._admitting.wait(_QUEUE_POLL_S)
+                    self._admission.wait(_QUEUE_POLL_S)
                     exchange.check_client()
                 self._running += 1
             finally:
                 self._queued -= 1
-                self._note_load(time.monotonic())
+                self._record_load(time.monotonic())
 
-    def _note_load(self, now_s: float) -> None:
+    def _record_load(self, now_s: float) -> None:
         self._loads.append(
             Load(now_s, self._running, self._queued, self._tokens)
         )
         horizon_s = now_s - self._timing.load_lag_s
-        # One report older than the lag stays, to be given out.
+        # The newest record older than the lag is kept; `load` reports it.
         while len(self._loads) > 1 and self._loads[1].at_s <= horizon_s:
             self._loads.popleft()
 
     def _answer(self, exchange: web.Exchange, call: dict[str, Any]) -> None:
         prompt = prompt_text(call)
         data = prompt.encode()
-        cached = self._cache.take(data)
+        cached = self._cache.match_and_add(data)
         self.count("prompt_tokens", len(data) // _BYTES_PER_TOKEN)
         self.count("cached_tokens", cached // _BYTES_PER_TOKEN)
         fresh_tokens = (len(data) - cached) / _BYTES_PER_TOKEN
         prefill_s = self._timing.prefill_per_token_s * fresh_tokens
-        made = self._paused.resume(_stream_name(exchange))
+        resumed = self._paused.resume(_resume_key(exchange))
         count = int(call.get("max_tokens") or _DEFAULT_MAX_TOKENS)
         usage = {
             "prompt_tokens": len(data) // _BYTES_PER_TOKEN + 1,
@@ -275,35 +295,40 @@
             },
         }
         exchange.wait(self._timing.prefill_s + prefill_s)
-        shape = _Shape(exchange.path == CHAT_PATH, str(call["model"]))
-        tokens = self._tokens_in_time(
-            exchange, words(prompt, count), made, shape.model
+        response_format = _ResponseFormat(
+            exchange.path == CHAT_PATH, str(call["model"])
+        )
+        tokens = self._paced_tokens(
+            exchange, words(prompt, count), resumed, response_format.model
         )
         if not call.get("stream"):
             text = "".join(token.text for token in tokens)
-            exchange.answer_json(200, shape.whole(text, usage))
+            exchange.answer_json(200, response_format.completion(text, usage))
             return
         options = call.get("stream_options") or {}
         last = usage if options.get("include_usage") else None
-        _stream(exchange, shape, tokens, last, bool(self._timing.stamps))
+        _stream(
+            exchange, response_format, tokens, last, bool(self._timing.stamps)
+        )
 
-    def _tokens_in_time(
+    def _paced_tokens(
         self,
         exchange: web.Exchange,
         answer: list[str],
-        made: int,
+        resumed: int,
         model: str,
     ) -> Iterator[Token]:
         due_s = time.monotonic()
-        for word in answer[:made]:
+        for word in answer[:resumed]:
             yield Token(word, due_s)
-        for number, word in enumerate(answer[made:], made + 1):
+        for number, word in enumerate(answer[resumed:], resumed + 1):
             yield Token(word, due_s)
             if model not in self.desk.names():
-                # A model that is dropped takes its streams with it.
+                # Unloading a model cuts the streams that it serves.
                 self.count("cut")
                 exchange.drop()
-            # Reading a number needs no lock; an old one does no harm.
+            # Reading `_running` needs no lock: a stale value only affects the
+            # simulated pace.
             self._tokens += 1
             due_s += (
                 self._timing.token_s
@@ -312,29 +337,29 @@
             try:
                 exchange.wait(due_s - time.monotonic())
             except web.DroppedError:
-                self._paused.pause(_stream_name(exchange), number)
+                self._paused.pause(_resume_key(exchange), number)
                 raise
 
 
-def _stream_name(exchange: web.Exchange) -> str:
-    """Returns the name that a stream is resumed by, empty if it has none.
+def _resume_key(exchange: web.Exchange) -> str:
+    """Returns the key to resume a stream by; empty without `X-Stream-Id`.
 
-    The body is a part of it, so that a stream's name given to another
-    request resumes nothing.
+    The key includes the hash of the request body, so that another request with
+    the same `X-Stream-Id` does not resume the stream.
     """
     stream = exchange.header("X-Stream-Id")
     return f"{stream}/{web.fingerprint(exchange.body)}" if stream else ""
 
 
-class _Shape:
-    """Builds the JSON that clients of the usual interface read."""
+class _ResponseFormat:
+    """Builds responses of the chat completions or the completions API."""
 
     def __init__(self, is_chat: bool, model: str) -> None:
         self._is_chat = is_chat
         self.model = model
 
-    def whole(self, text: str, usage: dict[str, Any]) -> dict[str, Any]:
-        """Returns a whole answer."""
+    def completion(self, text: str, usage: dict[str, Any]) -> dict[str, Any]:
+        """Returns a response that is not streamed."""
         if self._is_chat:
             choice: dict[str, Any] = {
                 "message": {"role": "assistant", "content": text}
@@ -344,7 +369,7 @@
         choice |= {"index": 0, "finish_reason": "length"}
         return self._object([choice], "", usage)
 
-    def part(self, text: str, finish: str | None) -> dict[str, Any]:
+    def stream_event(self, text: str, finish: str | None) -> dict[str, Any]:
         """Returns one event of a stream."""
         if self._is_chat:
             choice: dict[str, Any] = {"delta": {"content": text}}
@@ -353,8 +378,8 @@
         choice |= {"index": 0, "finish_reason": finish}
         return self._object([choice], ".chunk", None)
 
-    def usage(self, usage: dict[str, Any]) -> dict[str, Any]:
-        """Returns the event that tells the usage of a stream."""
+    def usage_event(self, usage: dict[str, Any]) -> dict[str, Any]:
+        """Returns the event that reports the token usage of a stream."""
         return self._object([], ".chunk", usage)
 
     def _object(
@@ -375,22 +400,22 @@
 
 def _stream(
     exchange: web.Exchange,
-    shape: _Shape,
+    response_format: _ResponseFormat,
     tokens: Iterator[Token],
     usage: dict[str, Any] | None,
     has_stamps: bool,
 ) -> None:
     exchange.begin(200, (("Content-Type", "text/event-stream"),))
     for index, token in enumerate(tokens):
-        event = shape.part(token.text, None)
+        event = response_format.stream_event(token.text, None)
         if has_stamps:
             event |= {"due_s": token.due_s, "made_s": time.monotonic()}
         exchange.chunk(_event(event))
         if index == 0:
-            exchange.middle()
-    exchange.chunk(_event(shape.part("", "length")))
+            exchange.apply_body_faults()
+    exchange.chunk(_event(response_format.stream_event("", "length")))
     if usage is not None:
-        exchange.chunk(_event(shape.usage(usage)))
+        exchange.chunk(_event(response_format.usage_event(usage)))
     exchange.chunk(DONE)
     exchange.chunk(b"")
 
@@ -400,11 +425,13 @@
 
 
 def main() -> None:
-    """Runs the stand-in as a process."""
+    """Runs the stand-in engine as a process."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", default="127.0.0.1:0")
     parser.add_argument("--name", default="engine")
-    parser.add_argument("--models", default="textbook", help="with commas")
+    parser.add_argument(
+        "--models", default="textbook", help="comma-separated names"
+    )
     defaults = {
         **Timing()._asdict(),
         **orderdesk.DeskSettings()._asdict(),
--- a/packages/standins/standins/fleet.py
+++ b/packages/standins/standins/fleet.py
@@ -1,6 +1,6 @@
-"""Starts, watches and ends processes for the demo and the process tests.
+"""Starts, observes and stops processes for the demo and the process tests.
 
-Every wait is bounded. Only processes started here are ended, by their id.
+Every wait has a timeout. Only processes started here are stopped, by their id.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -14,26 +14,31 @@
 import time
 from typing import TypeVar
 
-_POLL_S = 0.05
-_STOP_S = 60.0
+_POLL_INTERVAL_S = 0.05
+_STOP_TIMEOUT_S = 60.0
 _LOG_TAIL_LINES = 30
-# Below the range from which the kernel takes ports for outgoing connections,
-# so that a port found free stays free until its process binds it.
+# Below the kernel's range of ephemeral ports, so that no outgoing connection
+# takes a port between the check that it is free and its process binding it.
 _PORTS = range(20000, 32000)
-_LISTENING = "listening "
+_LISTENING_PREFIX = "listening "
 
 T = TypeVar("T")
 
 
 class FleetError(Exception):
-    """A process ended, or a condition did not come true, in its time."""
+    """A process ended unexpectedly, or a step failed or timed out."""
 
 
 def poll(condition: Callable[[], T | None], timeout_s: float, what: str) -> T:
-    """Returns the first value of `condition` that is true.
+    """Calls `condition` until its value is truthy, and returns the value.
+
+    Args:
+        condition: Called every 50 ms.
+        timeout_s: How long to try, in seconds.
+        what: What is waited for; part of the error message.
 
     Raises:
-        FleetError: There was none within `timeout_s`.
+        FleetError: The value was not truthy within `timeout_s`.
     """
     deadline_s = time.monotonic() + timeout_s
     while True:
@@ -41,12 +46,12 @@
         if value:
             return value
         if time.monotonic() >= deadline_s:
-            raise FleetError(f"Not within {timeout_s:g} s: {what}.")
-        time.sleep(_POLL_S)
+            raise FleetError(f"Timed out after {timeout_s:g} s: {what}.")
+        time.sleep(_POLL_INTERVAL_S)
 
 
 def free_address() -> str:
-    """Returns a loopback address that nothing listens on."""
+    """Returns a loopback address whose port is free."""
     for port in random.SystemRandom().sample(_PORTS, 100):
         with socket.socket() as candidate:
             try:
@@ -54,11 +59,11 @@
             except OSError:
                 continue
             return f"127.0.0.1:{port}"
-    raise FleetError("No free port was found.")
+    raise FleetError("None of 100 random ports is free.")
 
 
 class Process:
-    """One process with its log file."""
+    """One child process with its log file."""
 
     def __init__(
         self, name: str, child: subprocess.Popen[bytes], log: pathlib.Path
@@ -69,96 +74,101 @@
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """The process id."""
         return self._child.pid
 
     def is_running(self) -> bool:
-        """Tells whether it has not ended yet."""
+        """Returns whether the process has not ended yet."""
         return self._child.poll() is None
 
     def processor_s(self) -> float:
-        """Returns the processor time it has used so far."""
+        """Returns the processor time used so far, user and system."""
         stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
-        # The fields after the name in parentheses; user and system time are
-        # the 12th and 13th of them.
+        # Of the fields after the name in parentheses, the 12th and 13th are
+        # user and system time.
         fields = stat.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def output(self) -> str:
-        """Returns what it has written so far."""
+        """Returns the output written so far."""
         return self.log.read_text(errors="replace")
 
     def tail(self) -> str:
-        """Returns the last lines of its log, for a report of a failure."""
+        """Returns the last lines of the output, for failure reports."""
         return "\n".join(self.output().splitlines()[-_LOG_TAIL_LINES:])
 
     def address(self, timeout_s: float = 20.0) -> str:
-        """Returns the address of its first `listening` line."""
-        return poll(self._listening, timeout_s, f"{self.name} listens")
+        """Waits for the first `listening` line and returns its address.
+
+        Raises:
+            FleetError: The process ended, or printed no such line in time.
+        """
+        return poll(self._listening_address, timeout_s, f"{self.name} listens")
 
     def terminate(self) -> None:
-        """Asks it to stop gracefully."""
-        self._signal(signal.SIGTERM)
+        """Sends SIGTERM, which asks the process to stop gracefully."""
+        self._send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """Ends it at once and reaps it."""
-        self._signal(signal.SIGKILL)
+        """Kills the process and reaps it."""
+        self._send_signal(signal.SIGKILL)
         self.wait()
 
     def pause(self) -> None:
-        """Stops it from running until `resume`."""
-        self._signal(signal.SIGSTOP)
+        """Suspends the process until `resume`."""
+        self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it run on."""
-        self._signal(signal.SIGCONT)
+        """Resumes the process after `pause`."""
+        self._send_signal(signal.SIGCONT)
 
     def request_dump(self) -> None:
-        """Makes a daemon log its state."""
-        self._signal(signal.SIGUSR1)
+        """Sends SIGUSR1, on which a daemon logs its state."""
+        self._send_signal(signal.SIGUSR1)
+
+    def wait(self, timeout_s: float = _STOP_TIMEOUT_S) -> int:
+        """Waits for the process to end and returns its exit code.
 
-    def wait(self, timeout_s: float = _STOP_S) -> int:
-        """Returns its exit code, negative for the signal that ended it.
+        The code is the negative signal number if a signal ended the process.
 
         Raises:
-            FleetError: It still runs after `timeout_s`.
+            FleetError: The process still runs after `timeout_s`.
         """
         try:
             return self._child.wait(timeout_s)
         except subprocess.TimeoutExpired:
             raise FleetError(
-                f"{self.name} still runs after {timeout_s:g} s:\n{self.tail()}"
+                f"{self.name} is still running after {timeout_s:g} s:"
+                f"\n{self.tail()}"
             ) from None
 
-    def _signal(self, number: int) -> None:
-        # The child is only reaped by this object, so its id is still its own.
+    def _send_signal(self, number: int) -> None:
+        # Only this object reaps the child, so its id cannot be reused yet.
         if self.is_running():
             os.kill(self.pid, number)
 
-    def _listening(self) -> str | None:
+    def _listening_address(self) -> str | None:
         for line in self.output().splitlines():
-            if line.startswith(_LISTENING):
-                return line.removeprefix(_LISTENING).strip()
+            if line.startswith(_LISTENING_PREFIX):
+                return line.removeprefix(_LISTENING_PREFIX).strip()
         if not self.is_running():
-            raise FleetError(f"{self.name} ended:\n{self.tail()}")
+            raise FleetError(f"{self.name} ended unexpectedly:\n{self.tail()}")
         return None
 
 
 class Fleet:
-    """All processes of one demo or test; a context that ends them all."""
+    """All processes of one demo or test; leaving the context stops them all."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
         self.processes: list[Process] = []
-        self._started = 0
+        self._start_count = 0
 
     def __enter__(self) -> "Fleet":
-        """Returns itself."""
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Ends all processes."""
         self.stop()
 
     def start(
@@ -167,9 +177,9 @@
         arguments: Sequence[str],
         environment: Mapping[str, str] | None = None,
     ) -> Process:
-        """Starts a program; its output goes to a file in the folder."""
-        self._started += 1
-        log = self.folder / f"{self._started:04}-{name}.log"
+        """Starts a program whose output goes to a log file in the folder."""
+        self._start_count += 1
+        log = self.folder / f"{self._start_count:04}-{name}.log"
         with log.open("wb") as output:
             child = subprocess.Popen(
                 list(arguments),
@@ -183,28 +193,28 @@
         return process
 
     def stop(self) -> None:
-        """Ends all processes and reaps them.
+        """Stops and reaps all processes.
 
-        The first one started outlives the others, which may need it to stop
-        gracefully.
+        The process started first is stopped last, because the others may need
+        it to stop gracefully.
         """
-        self._end(self.processes[1:])
-        self._end(self.processes[:1])
+        self._stop_all(self.processes[1:])
+        self._stop_all(self.processes[:1])
         self.processes.clear()
 
-    def _end(self, processes: Sequence[Process]) -> None:
+    def _stop_all(self, processes: Sequence[Process]) -> None:
         for process in processes:
             process.resume()
             process.terminate()
         for process in processes:
             with contextlib.suppress(FleetError):
-                process.wait(_STOP_S / 4)
+                process.wait(_STOP_TIMEOUT_S / 4)
             process.kill()
 
 
 def _environment(extra: Mapping[str, str]) -> dict[str, str]:
-    # The daemon refuses variables it does not know, and those of the shell
-    # that runs the tests are not meant for it.
+    # The daemon rejects unknown BULRUSHDEAL_ variables, and those in the
+    # environment of the tests are not meant for it.
     kept = {
         name: value
         for name, value in os.environ.items()
--- a/packages/standins/standins/orderdesk.py
+++ b/packages/standins/standins/orderdesk.py
@@ -1,7 +1,7 @@
-"""The part of the stand-in engine that takes orders.
+"""The part of the stand-in engine that executes orders.
 
-It keeps which models and adapters the engine holds, and its role. Orders are
-carried out one after the other, each in the time that a load would take.
+It keeps the engine's role and the models and adapters that the engine has
+loaded. Orders are executed one at a time, each with a simulated duration.
 """
 
 import json
@@ -22,13 +22,15 @@
 
 
 class DeskSettings(NamedTuple):
-    """How an engine takes orders; all figures are assumed, not measured.
+    """How an engine executes orders; all figures are assumed, not measured.
 
     Attributes:
-        fencing: Whether it refuses an order with an older number: 1 or 0.
-        order_s: How long an order takes beside the fetch.
-        weights: The weight store's `HOST:PORT`; empty to load from nowhere.
-        lose_answers: So many orders are carried out and not answered.
+        fencing: 1 to refuse an order whose fencing number is lower than that of
+            an earlier order, else 0.
+        order_s: Seconds that an order takes in addition to the fetch.
+        weights: The weight store's `HOST:PORT`; empty to load without a fetch.
+        lose_answers: How many orders are executed without an answer; the
+            connection is dropped instead.
     """
 
     fencing: int = 1
@@ -37,8 +39,14 @@
     lose_answers: int = 0
 
 
-class Held(NamedTuple):
-    """A model or adapter that the engine holds."""
+class LoadedModel(NamedTuple):
+    """A model or adapter that the engine has loaded.
+
+    Attributes:
+        model: The name of the model or adapter.
+        version: The version of the model.
+        base: The model that an adapter extends; empty for a model.
+    """
 
     model: str
     version: str = ""
@@ -46,7 +54,13 @@
 
 
 class Outcome(NamedTuple):
-    """How an order went, as an answer over HTTP."""
+    """The outcome of an order, as an HTTP answer.
+
+    Attributes:
+        status: The HTTP status.
+        message: The reason if the status is not 200.
+        retry_after: The value of `Retry-After`; empty for none.
+    """
 
     status: int
     message: str = ""
@@ -54,27 +68,27 @@
 
 
 class OrderDesk:
-    """Takes orders, one at a time."""
+    """Executes orders, one at a time."""
 
     def __init__(self, models: tuple[str, ...], settings: DeskSettings) -> None:
         self._settings = settings
-        self._lose_answers = settings.lose_answers
+        self._answers_to_lose = settings.lose_answers
         self._pools = urllib3.PoolManager(retries=False)
-        self._working = threading.Lock()
-        self._held = tuple(Held(name) for name in models)
+        self._order_lock = threading.Lock()
+        self._loaded = tuple(LoadedModel(name) for name in models)
         self._role = "mixed"
-        self._fence = 0
-        # The numbers of the orders carried out, in turn.
+        self._last_fence = 0
+        # The fencing numbers of the orders executed, in order.
         self.fences: list[int] = []
 
     def names(self) -> tuple[str, ...]:
         """Returns the models and adapters that requests may name."""
-        return tuple(held.model for held in self._held)
+        return tuple(row.model for row in self._loaded)
 
     def state(self) -> dict[str, Any]:
-        """Returns what the engine holds."""
+        """Returns the loaded models and the role."""
         return {
-            "models": [held._asdict() for held in self._held],
+            "models": [row._asdict() for row in self._loaded],
             "role": self._role,
         }
 
@@ -85,12 +99,12 @@
             return
         try:
             order = json.loads(exchange.body)
-            outcome = self._take(order)
+            outcome = self._execute(order)
         except (ValueError, KeyError, TypeError):
-            outcome = Outcome(400, "no order")
+            outcome = Outcome(400, "malformed order")
         if outcome.status == _OK:
-            if self._lose_answers > 0:
-                self._lose_answers -= 1
+            if self._answers_to_lose > 0:
+                self._answers_to_lose -= 1
                 exchange.drop()
             exchange.answer_json(200, self.state())
             return
@@ -102,47 +116,54 @@
         exchange.chunk(json.dumps(body).encode())
         exchange.chunk(b"")
 
-    def _take(self, order: dict[str, Any]) -> Outcome:
-        with self._working:
+    def _execute(self, order: dict[str, Any]) -> Outcome:
+        with self._order_lock:
             fence = int(order["fence"])
-            if self._settings.fencing and fence < self._fence:
-                return Outcome(409, f"{self._fence} was seen")
-            self._fence = max(fence, self._fence)
-            outcome = self._carry_out(order)
+            if self._settings.fencing and fence < self._last_fence:
+                return Outcome(
+                    409,
+                    f"stale order: fence {self._last_fence} was already seen",
+                )
+            self._last_fence = max(fence, self._last_fence)
+            outcome = self._apply(order)
             if outcome.status == _OK:
                 self.fences.append(fence)
             return outcome
 
-    def _carry_out(self, order: dict[str, Any]) -> Outcome:
+    def _apply(self, order: dict[str, Any]) -> Outcome:
         if order["action"] == "role":
             if order["role"] not in ROLES:
-                return Outcome(400, "no such role")
+                return Outcome(400, "unknown role")
             time.sleep(self._settings.order_s)
             self._role = order["role"]
             return Outcome(200)
-        held = Held(order["model"], order["version"], order["base"])
-        others = tuple(row for row in self._held if row.model != held.model)
+        target = LoadedModel(order["model"], order["version"], order["base"])
+        others = tuple(row for row in self._loaded if row.model != target.model)
         if order["action"] == "unload":
             time.sleep(self._settings.order_s)
-            self._held = tuple(row for row in others if row.base != held.model)
+            self._loaded = tuple(
+                row for row in others if row.base != target.model
+            )
             return Outcome(200)
-        if held.base and held.base not in self.names():
-            return Outcome(400, f"no model {held.base}")
-        if held not in self._held:
-            fetched = self._fetch(held)
+        if target.base and target.base not in self.names():
+            return Outcome(400, f"base model {target.base} is not loaded")
+        if target not in self._loaded:
+            fetched = self._fetch(target)
             if fetched.status != _OK:
                 return fetched
         time.sleep(self._settings.order_s)
-        self._held = (*others, held)
+        self._loaded = (*others, target)
         return Outcome(200)
 
-    def _fetch(self, held: Held) -> Outcome:
+    def _fetch(self, target: LoadedModel) -> Outcome:
         if not self._settings.weights:
             return Outcome(200)
-        url = f"http://{self._settings.weights}/weights/{held.model}"
+        url = f"http://{self._settings.weights}/weights/{target.model}"
         try:
             answer = self._pools.request("GET", url, timeout=_FETCH_TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
-            return Outcome(503, f"no weights: {error}")
+            return Outcome(503, f"the weight store is unreachable: {error}")
         retry_after = answer.headers.get("Retry-After", "")
-        return Outcome(answer.status, "the weight store refused", retry_after)
+        return Outcome(
+            answer.status, "the weight store refused the fetch", retry_after
+        )
--- a/packages/standins/standins/platform.py
+++ b/packages/standins/standins/platform.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform: key-value service, VM list, weight store.
 
-Serves the calls of docs/design/interfaces.md over HTTP, with switches for
-faults. Run it with `python -m standins.platform --address 127.0.0.1:0`.
+Serves the platform's interfaces of docs/design/interfaces.md over HTTP and can
+inject faults. Run it with `python -m standins.platform --address 127.0.0.1:0`.
 """
 
 import base64
@@ -36,15 +36,15 @@
 
 
 class Faults(NamedTuple):
-    """What goes wrong at the moment.
+    """The faults injected at present.
 
     Attributes:
-        outage: No call is answered and none has an effect.
-        kv_outage: The same for the key-value service alone.
-        latency_s: How long each call waits first.
-        lose_next_answers: How many writes from now take effect without
-            their answer arriving.
-        list_lag_s: How old the list of VMs is that is answered.
+        outage: Whether all calls are dropped, without effect.
+        kv_outage: Whether calls to the key-value service are dropped.
+        latency_s: Seconds that each call is delayed.
+        lose_next_answers: How many of the next writes take effect but get no
+            answer.
+        list_lag_s: Age of the list of VMs that is served, in seconds.
     """
 
     outage: bool = False
@@ -55,7 +55,13 @@
 
 
 class Platform:
-    """The stand-in, served on an address; port 0 chooses one."""
+    """The stand-in platform.
+
+    Attributes:
+        keyspace: The key-value service.
+        calls: How many calls were received, by kind.
+        size_bytes: The total size of the bodies of requests and answers.
+    """
 
     def __init__(
         self,
@@ -66,27 +72,28 @@
         self.keyspace = keyspace.Keyspace()
         self.calls: collections.Counter[str] = collections.Counter()
         self._host = address.rpartition(":")[0]
-        # Bodies of requests and answers together.
         self.size_bytes = 0
         self._server = httpd.Server(address, self._serve, threads)
         self._lock = threading.Lock()
         self._faults = Faults()
-        self._lists: list[tuple[float, dict[str, records.Vm]]] = [(0.0, {})]
+        self._list_history: list[tuple[float, dict[str, records.Vm]]] = [
+            (0.0, {})
+        ]
         self._weight_loads_per_s = weight_loads_per_s
-        self._next_weight_s = 0.0
+        self._next_weight_load_s = 0.0
 
     @property
     def port(self) -> int:
-        """The port it listens on, known after `start`."""
+        """The listening port, available after `start`."""
         return self._server.port
 
     @property
     def address(self) -> str:
-        """`HOST:PORT`, known after `start`."""
+        """The listening `HOST:PORT`, available after `start`."""
         return f"{self._host}:{self.port}"
 
     def start(self) -> None:
-        """Begins to serve."""
+        """Starts serving."""
         self._server.start()
 
     def stop(self, grace_s: float = 1.0) -> None:
@@ -95,33 +102,33 @@
         self._server.stop(grace_s)
 
     def fault(self, **changes: Any) -> None:
-        """Changes some of the `Faults`."""
+        """Changes the given fields of `Faults`."""
         with self._lock:
             self._faults = self._faults._replace(**changes)
         self.keyspace.wake()
 
     def set_vm(self, row: records.Vm) -> None:
-        """Adds or changes a row of the list."""
+        """Adds or replaces a row of the list of VMs."""
         self._edit_list(lambda rows: rows.update({row.vm: row}))
 
     def remove_vm(self, vm: str) -> None:
-        """Takes a row off the list."""
+        """Removes a row from the list of VMs."""
         self._edit_list(lambda rows: rows.pop(vm, None))
 
     def _edit_list(
         self, change: Callable[[dict[str, records.Vm]], Any]
     ) -> None:
         with self._lock:
-            rows = dict(self._lists[-1][1])
+            rows = dict(self._list_history[-1][1])
             change(rows)
-            self._lists.append((time.monotonic(), rows))
+            self._list_history.append((time.monotonic(), rows))
 
     def vms(self) -> tuple[records.Vm, ...]:
-        """Returns the list as old as the lag says."""
+        """Returns the list of VMs as it was `Faults.list_lag_s` ago."""
         with self._lock:
             seen_s = time.monotonic() - self._faults.list_lag_s
             rows: dict[str, records.Vm] = {}
-            for changed_s, listed in self._lists:
+            for changed_s, listed in self._list_history:
                 if changed_s <= seen_s:
                     rows = listed
             return tuple(rows[vm] for vm in sorted(rows))
@@ -133,7 +140,7 @@
         if request.path == "/v1/stats":
             stats = {"calls": dict(self.calls), "bytes": self.size_bytes}
             return httpd.json_response(200, stats)
-        kind = _kind(request)
+        kind = _call_kind(request)
         self.calls[kind] += 1
         if self._faults.latency_s:
             time.sleep(self._faults.latency_s)
@@ -142,18 +149,18 @@
         with self._lock:
             self.size_bytes += max(0, request.length_bytes)
             self.size_bytes += sum(len(part) for part in response.body)
-        # A watch that an outage finds waiting is cut as well.
+        # An outage also drops the watches that are waiting when it begins.
         self._check_outage(kind)
-        if kind in ("put", "delete") and self._loses_answer():
-            raise _dropped()
+        if kind in ("put", "delete") and self._consume_lost_answer():
+            raise _connection_reset()
         return response
 
     def _check_outage(self, kind: str) -> None:
         is_keyvalue = kind not in ("vms", "weights")
         if self._faults.outage or (self._faults.kv_outage and is_keyvalue):
-            raise _dropped()
+            raise _connection_reset()
 
-    def _loses_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         with self._lock:
             left = self._faults.lose_next_answers
             if left <= 0:
@@ -170,10 +177,10 @@
         if kind == "leases":
             return self._answer_leases(request, query)
         if kind in ("list", "watch"):
-            return self._answer_many(kind, query)
-        return self._answer_one(kind, request, query)
+            return self._answer_list_or_watch(kind, query)
+        return self._answer_key(kind, request, query)
 
-    def _answer_one(
+    def _answer_key(
         self, kind: str, request: httpd.Request, query: dict[str, str]
     ) -> httpd.Response:
         key = request.path.removeprefix("/v1/kv/")
@@ -198,7 +205,9 @@
             return httpd.json_response(200, {"revision": revision})
         return httpd.json_response(409, _entry(held) if held else {})
 
-    def _answer_many(self, kind: str, query: dict[str, str]) -> httpd.Response:
+    def _answer_list_or_watch(
+        self, kind: str, query: dict[str, str]
+    ) -> httpd.Response:
         if kind == "list":
             entries, revision = self.keyspace.list(query["prefix"])
         else:
@@ -247,21 +256,21 @@
     def _answer_weights(self) -> httpd.Response:
         with self._lock:
             now_s = time.monotonic()
-            wait_s = self._next_weight_s - now_s
+            wait_s = self._next_weight_load_s - now_s
             if wait_s > 0:
                 after = (("Retry-After", str(math.ceil(wait_s))),)
                 return httpd.json_response(429, {}, after)
-            self._next_weight_s = now_s + 1 / self._weight_loads_per_s
+            self._next_weight_load_s = now_s + 1 / self._weight_loads_per_s
         headers = (("Content-Length", str(_WEIGHT_BYTES)),)
         return httpd.Response(200, headers, (bytes(_WEIGHT_BYTES),))
 
 
-def _dropped() -> ConnectionResetError:
-    # cheroot closes the connection without an answer on this error.
+def _connection_reset() -> ConnectionResetError:
+    # On this error cheroot closes the connection without an answer.
     return ConnectionResetError(errno.ECONNRESET, "fault")
 
 
-def _kind(request: httpd.Request) -> str:
+def _call_kind(request: httpd.Request) -> str:
     parts = request.path.strip("/").split("/")
     name = parts[1] if len(parts) > 1 else ""
     if name != "kv":
@@ -283,7 +292,7 @@
 
 
 class PlatformCommand(command.Command):
-    """Serves until a signal ends the process."""
+    """Serves the stand-in platform until SIGTERM or SIGINT."""
 
     name = "platform"
     description = "Stand in for the platform."
@@ -292,7 +301,7 @@
     ]
 
     def handle(self) -> int:
-        """Prints where it listens, then serves."""
+        """Prints the listening address and serves."""
         platform = Platform(self.option("address"))
         stopping = threading.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -305,7 +314,7 @@
 
 
 def main() -> None:
-    """Runs the only command."""
+    """Runs the command `platform`."""
     app = application.Application("standins.platform")
     app.add(PlatformCommand())
     app.run(argv_input.ArgvInput(["standins", "platform", *sys.argv[1:]]))
--- a/packages/standins/standins/web.py
+++ b/packages/standins/standins/web.py
@@ -1,7 +1,7 @@
-"""A small HTTP server for stand-ins that can break off at any point.
+"""A small HTTP server for stand-ins that can drop a connection at any point.
 
-It is made from the standard library's server and not from `cheroot`, since
-a stand-in has to drop a connection inside a head or a body.
+It is built on the standard library's server and not on `cheroot`, because a
+stand-in has to drop connections in the middle of a head or a body.
 """
 
 import collections
@@ -19,9 +19,9 @@
 
 _BACKLOG = 1024
 _PEEK_BYTES = 64
-_REMEMBERED_REQUESTS = 1000
+_MAX_KEPT_REQUESTS = 1000
 _CRASH_STATUS = 3
-# Requests to these paths are the test's own and never meet a fault.
+# Faults never apply to these paths, which tests use to control the stand-in.
 _CONTROL_PATHS = (b" /v1/faults", b" /v1/stats", b" /load")
 
 DropPoint = Literal[
@@ -30,19 +30,21 @@
 
 
 class Faults(NamedTuple):
-    """What goes wrong; each field is off by default.
+    """The injected faults; all are off by default.
 
     Attributes:
-        crash_on: A request whose body holds this text drops its connection.
+        crash_on: A request whose body contains this text drops its connection;
+            empty for none.
         crash_exits: Whether such a request ends the process as well.
-        freeze_s: Silence before the head of each answer.
-        freeze_in_answer_s: Silence in the middle of each answer.
+        freeze_s: Seconds without output before the head of each answer.
+        freeze_in_answer_s: Seconds without output in the body of each answer.
         drop_at: Where the connection is dropped: before the request's head
             is read, inside it, inside its body, after the whole request
             has run, inside the answer's head, inside the answer's body.
-        drop_times: How many requests meet the drop; below 0 for all.
-        drop_reused: Only drops on a connection that served before.
-        refuse_status: Answers each request with this error status.
+        drop_times: How many requests are dropped; negative for all.
+        drop_reused: Whether to drop only requests on a connection that has
+            served an earlier request.
+        refuse_status: The error status that answers every request; 0 for none.
     """
 
     crash_on: str = ""
@@ -55,13 +57,13 @@
     refuse_status: int = 0
 
 
-class Seen(NamedTuple):
-    """One request as it came in.
+class ReceivedRequest(NamedTuple):
+    """One request as received.
 
     Attributes:
-        method: As sent.
-        path: With the query, as sent.
-        headers: Names and values as sent.
+        method: The HTTP method.
+        path: The path with the query.
+        headers: Names and values of the headers.
         fingerprint: SHA-256 of the body.
     """
 
@@ -72,23 +74,34 @@
 
 
 class DroppedError(Exception):
-    """The connection was broken off, by a fault or by the client."""
+    """A fault or the client closed the connection."""
 
 
 def fingerprint(body: bytes) -> str:
-    """Returns the name that a body's runs are counted under."""
+    """Returns the hash of a body, under which its runs are counted."""
     return hashlib.sha256(body).hexdigest()
 
 
 class Server:
-    """Serves a handler on threads; a subclass answers `serve`."""
+    """An HTTP server with a thread for each connection.
+
+    Subclasses override `serve`. The paths `/v1/faults` and `/v1/stats` are
+    served here.
+
+    Attributes:
+        lock: Held while the other attributes change.
+        faults: The faults injected at present.
+        seen: The latest requests.
+        runs: How often a request was run, by the name passed to `ran`.
+        counts: Event counters by name.
+    """
 
     def __init__(self, address: str = "127.0.0.1:0") -> None:
         host, _, port = address.rpartition(":")
         self.lock = threading.Lock()
         self.faults = Faults()
-        self.seen: collections.deque[Seen] = collections.deque(
-            maxlen=_REMEMBERED_REQUESTS
+        self.seen: collections.deque[ReceivedRequest] = collections.deque(
+            maxlen=_MAX_KEPT_REQUESTS
         )
         self.runs: collections.Counter[str] = collections.Counter()
         self.counts: collections.Counter[str] = collections.Counter()
@@ -96,23 +109,23 @@
         outer = self
 
         class Handler(_Handler):
-            owner = outer
+            standin = outer
 
         self._server = _ThreadingServer((host, int(port)), Handler)
 
     @property
     def port(self) -> int:
-        """The port it listens on."""
+        """The listening port."""
         return int(self._server.server_address[1])
 
     @property
     def address(self) -> str:
-        """The `HOST:PORT` it listens on."""
+        """The listening `HOST:PORT`."""
         host = self._server.server_address[0]
         return f"{host!s}:{self.port}"
 
     def start(self) -> None:
-        """Serves on threads of its own."""
+        """Starts serving in the background."""
         threading.Thread(
             target=self._server.serve_forever,
             kwargs={"poll_interval": 0.02},
@@ -121,20 +134,24 @@
         ).start()
 
     def stop(self) -> None:
-        """Stops at once; open connections break as in a crash."""
+        """Stops at once and drops open connections, as a crash does."""
         self._server.shutdown()
         self._server.server_close()
         with self.lock:
             connections = tuple(self._connections)
         for connection in connections:
-            _break(connection)
+            _shut_down(connection)
 
     def serve(self, exchange: "Exchange") -> None:
-        """Answers one request; overridden."""
+        """Answers one request.
+
+        Raises:
+            NotImplementedError: A subclass has to override this method.
+        """
         raise NotImplementedError
 
     def stats(self) -> dict[str, Any]:
-        """Returns what was seen, for tests."""
+        """Returns the counters, runs and latest requests, for tests."""
         with self.lock:
             return {
                 **self.counts,
@@ -143,17 +160,22 @@
             }
 
     def ran(self, name: str) -> None:
-        """Counts one run under a fingerprint."""
+        """Counts one run of a request under a name, such as its fingerprint."""
         with self.lock:
             self.runs[name] += 1
 
     def count(self, name: str, number: int = 1) -> None:
-        """Counts one event, or several."""
+        """Adds `number` to the event counter `name`."""
         with self.lock:
             self.counts[name] += number
 
-    def takes_drop(self, point: DropPoint, is_reused: bool) -> bool:
-        """Tells whether a request is dropped here, and counts it."""
+    def consume_drop(self, point: DropPoint, is_reused: bool) -> bool:
+        """Returns whether to drop a request at `point`, and counts the drop.
+
+        Args:
+            point: How far the request has come.
+            is_reused: Whether the connection has served an earlier request.
+        """
         with self.lock:
             faults = self.faults
             if faults.drop_at != point or faults.drop_times == 0:
@@ -167,7 +189,7 @@
             return True
 
     def track(self, connection: socket.socket, is_open: bool) -> None:
-        """Remembers a connection while it is open."""
+        """Records that a connection was opened or closed, for `stop`."""
         with self.lock:
             if is_open:
                 self._connections.add(connection)
@@ -181,15 +203,15 @@
     request_queue_size = _BACKLOG
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Keeps quiet: clients of a stand-in break off on purpose."""
+        """Logs nothing, because clients of a stand-in disconnect on purpose."""
 
 
 class Exchange:
-    """One request and the means to answer it, with the faults applied."""
+    """One request, with methods that answer it and inject faults."""
 
     def __init__(self, handler: "_Handler", body: bytes) -> None:
         self._handler = handler
-        self._owner = handler.owner
+        self._standin = handler.standin
         self.method = handler.command
         self.path = handler.path
         self.headers: tuple[tuple[str, str], ...] = tuple(
@@ -198,21 +220,21 @@
         self.body = body
 
     def header(self, name: str) -> str:
-        """Returns a header's value, empty if it is not there."""
+        """Returns the value of a header, empty if it is missing."""
         return str(self._handler.headers.get(name, ""))
 
     def answer(
         self, status: int, body: bytes, kind: str = "application/json"
     ) -> None:
-        """Sends a whole answer."""
+        """Sends an answer that is not chunked."""
         self.begin(status, (("Content-Type", kind),), len(body))
         half = len(body) // 2
         self._handler.wfile.write(body[:half])
-        self.middle()
+        self.apply_body_faults()
         self._handler.wfile.write(body[half:])
 
     def answer_json(self, status: int, value: Any) -> None:
-        """Sends a whole answer as JSON."""
+        """Sends a JSON answer that is not chunked."""
         self.answer(status, json.dumps(value).encode())
 
     def begin(
@@ -221,8 +243,8 @@
         headers: tuple[tuple[str, str], ...],
         length_bytes: int = -1,
     ) -> None:
-        """Sends the head; the body is chunked if its length is not given."""
-        if self._drops("answer_head"):
+        """Sends the head; the body is chunked if `length_bytes` is negative."""
+        if self._consume_drop("answer_head"):
             self._handler.wfile.write(b"HTTP/1.1 200 O")
             self.drop()
         self._handler.send_response(status)
@@ -238,19 +260,19 @@
         """Sends one chunk of a chunked body; an empty one ends it."""
         self._handler.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def middle(self) -> None:
-        """Applies the faults that lie inside the answer's body."""
-        if self._drops("answer"):
+    def apply_body_faults(self) -> None:
+        """Applies the faults that occur in the middle of an answer's body."""
+        if self._consume_drop("answer"):
             self.drop()
-        freeze_s = self._owner.faults.freeze_in_answer_s
+        freeze_s = self._standin.faults.freeze_in_answer_s
         if freeze_s > 0:
             self.wait(freeze_s)
 
     def wait(self, duration_s: float) -> None:
-        """Waits unless the client leaves.
+        """Waits for `duration_s`, or until the client disconnects.
 
         Raises:
-            DroppedError: The client closed its end.
+            DroppedError: The client closed its end of the connection.
         """
         end_s = time.monotonic() + duration_s
         while (left_s := end_s - time.monotonic()) > 0:
@@ -260,7 +282,11 @@
             time.sleep(min(0.001, max(end_s - time.monotonic(), 0)))
 
     def check_client(self) -> None:
-        """Raises `DroppedError` if the client closed its end."""
+        """Checks that the client is still connected.
+
+        Raises:
+            DroppedError: The client closed its end of the connection.
+        """
         try:
             flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
             data = self._handler.connection.recv(1, flags)
@@ -272,38 +298,41 @@
             raise DroppedError
 
     def drop(self) -> None:
-        """Breaks the connection off.
+        """Drops the connection.
 
         Raises:
             DroppedError: Always.
         """
-        _break(self._handler.connection)
+        _shut_down(self._handler.connection)
         raise DroppedError
 
-    def _drops(self, point: DropPoint) -> bool:
-        return self._owner.takes_drop(point, self._handler.served > 0)
+    def _consume_drop(self, point: DropPoint) -> bool:
+        return self._standin.consume_drop(
+            point, self._handler.served_requests > 0
+        )
 
 
 class _Handler(server.BaseHTTPRequestHandler):
-    owner: Server
+    standin: Server
     protocol_version = "HTTP/1.1"
-    # Without this each token waits for the client's delayed acknowledgement.
+    # Nagle's algorithm would hold each token back until the client's delayed
+    # acknowledgement of the one before.
     disable_nagle_algorithm = True
     wbufsize = 0
 
     def setup(self) -> None:
         super().setup()
-        self.served = 0
+        self.served_requests = 0
         self.poll = select.poll()
         self.poll.register(self.connection, select.POLLIN)
-        self.owner.track(self.connection, True)
+        self.standin.track(self.connection, True)
 
     def finish(self) -> None:
-        self.owner.track(self.connection, False)
+        self.standin.track(self.connection, False)
         super().finish()
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Keeps quiet."""
+        """Logs nothing."""
 
     def handle_one_request(self) -> None:
         self.close_connection = True
@@ -312,64 +341,64 @@
             if not start:
                 return
             if not any(path in start for path in _CONTROL_PATHS):
-                self._drop_in_head()
+                self._apply_head_faults()
             super().handle_one_request()
-            self.served += 1
+            self.served_requests += 1
         except (DroppedError, OSError, ValueError):
             self.close_connection = True
 
-    def _drop_in_head(self) -> None:
-        is_reused = self.served > 0
-        if self.owner.takes_drop("head", is_reused):
-            _break(self.connection)
+    def _apply_head_faults(self) -> None:
+        is_reused = self.served_requests > 0
+        if self.standin.consume_drop("head", is_reused):
+            _shut_down(self.connection)
             raise DroppedError
-        if self.owner.takes_drop("in_head", is_reused):
+        if self.standin.consume_drop("in_head", is_reused):
             self.rfile.readline()
-            _break(self.connection)
+            _shut_down(self.connection)
             raise DroppedError
 
     def _serve(self) -> None:
         if self.path == "/v1/faults":
             values = json.loads(self._read_body())
-            with self.owner.lock:
-                self.owner.faults = Faults(**values)
+            with self.standin.lock:
+                self.standin.faults = Faults(**values)
             Exchange(self, b"").answer_json(200, values)
             return
         if self.path == "/v1/stats":
-            Exchange(self, b"").answer_json(200, self.owner.stats())
+            Exchange(self, b"").answer_json(200, self.standin.stats())
             return
-        is_reused = self.served > 0
-        if self.owner.takes_drop("body", is_reused):
+        is_reused = self.served_requests > 0
+        if self.standin.consume_drop("body", is_reused):
             self.rfile.read1(_PEEK_BYTES)
-            _break(self.connection)
+            _shut_down(self.connection)
             raise DroppedError
         body = self._read_body()
         exchange = Exchange(self, body)
-        seen = Seen(
+        seen = ReceivedRequest(
             self.command, self.path, exchange.headers, fingerprint(body)
         )
-        with self.owner.lock:
-            self.owner.seen.append(seen)
+        with self.standin.lock:
+            self.standin.seen.append(seen)
         self._serve_with_faults(exchange, is_reused)
 
     def _serve_with_faults(self, exchange: Exchange, is_reused: bool) -> None:
-        faults = self.owner.faults
+        faults = self.standin.faults
         if faults.refuse_status:
             exchange.answer_json(faults.refuse_status, {"error": "refused"})
             return
         if faults.crash_on and faults.crash_on.encode() in exchange.body:
-            self.owner.ran(fingerprint(exchange.body))
-            self.owner.count("crashed")
+            self.standin.ran(fingerprint(exchange.body))
+            self.standin.count("crashed")
             if faults.crash_exits:
                 os._exit(_CRASH_STATUS)
             exchange.drop()
-        if self.owner.takes_drop("after_body", is_reused):
-            self.owner.ran(fingerprint(exchange.body))
+        if self.standin.consume_drop("after_body", is_reused):
+            self.standin.ran(fingerprint(exchange.body))
             exchange.drop()
         if faults.freeze_s > 0:
-            # A frozen process does not see its client leave.
+            # Like a frozen process, this does not notice a client disconnect.
             time.sleep(faults.freeze_s)
-        self.owner.serve(exchange)
+        self.standin.serve(exchange)
 
     def _read_body(self) -> bytes:
         if self.headers.get("Transfer-Encoding", "") == "chunked":
@@ -395,16 +424,16 @@
     do_DELETE = do_PATCH = do_OPTIONS = _serve  # noqa: N815
 
 
-def _break(connection: socket.socket) -> None:
+def _shut_down(connection: socket.socket) -> None:
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # The other end was faster.
+        # The peer has closed the connection already.
         return
 
 
 def run(make: Callable[[], Server]) -> None:
-    """Runs a stand-in as a process until it is ended."""
+    """Serves a stand-in until the process ends, and prints its address."""
     standin = make()
     standin.start()
     print(f"listening {standin.address}", flush=True)
--- a/packages/standins/standins/weights.py
+++ b/packages/standins/standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in for the weight store, which serves only so much at once."""
+"""A stand-in for the weight store, which limits concurrent fetches."""
 
 import argparse
 import time
@@ -6,16 +6,16 @@
 
 from standins import web
 
-_PREFIX = "/weights/"
+_PATH_PREFIX = "/weights/"
 
 
 class Limits(NamedTuple):
-    """What the store allows; all figures are assumed, not measured.
+    """The limits of the store; all figures are assumed, not measured.
 
     Attributes:
-        max_fetches: Fetches served at once; more are refused.
-        fetch_s: How long a fetch takes.
-        retry_after_s: When a refused client is told to come back.
+        max_fetches: Most fetches served at once; more are refused.
+        fetch_s: Seconds that a fetch takes.
+        retry_after_s: The `Retry-After` of a refusal, in seconds.
     """
 
     max_fetches: int = 2
@@ -24,22 +24,22 @@
 
 
 class WeightStore(web.Server):
-    """Answers `GET /weights/NAME` with some bytes, in time."""
+    """Answers `GET /weights/NAME` with placeholder bytes after `fetch_s`."""
 
     def __init__(
         self, address: str = "127.0.0.1:0", limits: Limits | None = None
     ) -> None:
         super().__init__(address)
         self._limits = limits or Limits()
-        self._fetching = 0
-        self._most = 0
+        self._active_fetches = 0
+        self._peak_fetches = 0
 
     def serve(self, exchange: web.Exchange) -> None:
         """See `web.Server`."""
-        if not exchange.path.startswith(_PREFIX):
+        if not exchange.path.startswith(_PATH_PREFIX):
             exchange.answer_json(404, {"error": {"message": "no such path"}})
             return
-        if not self._enter():
+        if not self._try_begin_fetch():
             self.count("refused")
             retry_after = f"{self._limits.retry_after_s:g}"
             exchange.begin(429, (("Retry-After", retry_after),), 0)
@@ -48,26 +48,30 @@
             time.sleep(self._limits.fetch_s)
         finally:
             with self.lock:
-                self._fetching -= 1
+                self._active_fetches -= 1
         self.count("fetched")
         exchange.answer(200, b"weights", "application/octet-stream")
 
     def stats(self) -> dict[str, Any]:
         """See `web.Server`."""
         counts = {"fetched": 0, "refused": 0}
-        return {**counts, **super().stats(), "most_at_once": self._most}
+        return {
+            **counts,
+            **super().stats(),
+            "most_at_once": self._peak_fetches,
+        }
 
-    def _enter(self) -> bool:
+    def _try_begin_fetch(self) -> bool:
         with self.lock:
-            if self._fetching >= self._limits.max_fetches:
+            if self._active_fetches >= self._limits.max_fetches:
                 return False
-            self._fetching += 1
-            self._most = max(self._most, self._fetching)
+            self._active_fetches += 1
+            self._peak_fetches = max(self._peak_fetches, self._active_fetches)
             return True
 
 
 def main() -> None:
-    """Runs the stand-in as a process."""
+    """Runs the stand-in store as a process."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", default="127.0.0.1:0")
     for field, default in Limits()._asdict().items():
