--- a/tests/process/test_batchprocesses.py
+++ b/tests/process/test_batchprocesses.py
@@ -1,4 +1,4 @@
-"""A batch job over real daemons that are killed, frozen and cut off."""
+"""Tests a batch job on real daemons through a kill, a freeze and an outage."""
 
 import json
 import pathlib
@@ -22,9 +22,9 @@
 def test_job_survives_a_killed_and_a_frozen_vm_and_an_outage(
     tmp_path: pathlib.Path,
 ) -> None:
-    # A school's quiz is missing answers or has some twice: the VM that took
-    # the job was lost with its disk just after it said so, another stood
-    # still with items in flight and came back, and the platform was away.
+    # Guards against missing or duplicate results. The VM that accepted the job
+    # is lost with its disk just after the acknowledgement, another VM freezes
+    # with items in flight and resumes, and the platform has an outage.
     with fleet_lib.Fleet(tmp_path) as fleet:
         deployment = deployment_lib.Deployment(fleet)
         deployment.start_platform()
@@ -48,8 +48,8 @@
         deployment.set_platform_faults(outage=True)
         fleet_lib.poll(Countdown(20).is_over, WAIT_S, "the outage lasts")
         deployment.set_platform_faults(outage=False)
-        # Its chunks go to others meanwhile. Not all can: an input whose
-        # copies are here and on the lost VM waits for this one.
+        # Other VMs take over the chunks of the frozen VM, but not all of them:
+        # input with copies only on this VM and the lost one has to wait.
         fleet_lib.poll(Countdown(300).is_over, WAIT_S, "the VM is frozen")
         frozen.process.resume()
         wait_for(client, job, ITEMS)
@@ -64,7 +64,7 @@
 
 
 class Countdown:
-    """Is over after so many looks."""
+    """Is over after `is_over` was called `looks` times."""
 
     def __init__(self, looks: int) -> None:
         self._left = looks
@@ -85,7 +85,7 @@
                 file=("quiz.jsonl", data), purpose="batch"
             )
         except openai.APIStatusError as error:
-            # This VM may not have seen a second failure domain's store yet.
+            # This VM may not have found a store in a second failure domain yet.
             assert error.status_code == 503
             return None
 
@@ -99,13 +99,13 @@
 
 
 def wait_for(client: openai.OpenAI, job: str, items: int) -> None:
-    """Waits until so many items are shown as answered."""
+    """Waits until a number of items, or the whole job, is completed."""
 
-    def is_far() -> Any:
+    def is_reached() -> Any:
         try:
             batch = client.batches.retrieve(job)
         except openai.APIStatusError as error:
-            # In the outage a job cannot be read.
+            # A job cannot be read during the outage.
             assert error.status_code == 503
             return False
         counts = batch.request_counts
@@ -115,4 +115,4 @@
             return counts.completed >= items
         return batch.status == "completed"
 
-    fleet_lib.poll(is_far, WAIT_S, f"{items} items of {json.dumps(job)}")
+    fleet_lib.poll(is_reached, WAIT_S, f"{items} items of {json.dumps(job)}")
--- a/tests/process/test_customers.py
+++ b/tests/process/test_customers.py
@@ -1,4 +1,4 @@
-"""What customers meet while operators edit and the platform is out."""
+"""Tests what customers see during operators' edits and platform outages."""
 
 import json
 import pathlib
@@ -15,9 +15,9 @@
 def test_new_customer_is_admitted_at_once_on_each_vm(
     tmp_path: pathlib.Path,
 ) -> None:
-    # A customer is created, config status says it is in force on each VM,
-    # and the customer's first requests, far inside its rate, are refused
-    # with 429. Cause: the VM has no share of the row's tokens yet.
+    # Guards against 429 for the first requests of a new customer that is in
+    # force on each VM and far below its rate. It happens if a VM has no share
+    # of the customer's tokens yet.
     with processes.running(tmp_path) as system:
         key = system.deployment.create_customer("nakuru", 50.0)
         system.deployment.wait_in_force()
@@ -33,10 +33,10 @@
 def test_withdrawn_key_stops_on_each_vm_with_its_open_streams(
     tmp_path: pathlib.Path,
 ) -> None:
-    # A key is stolen, and the thief holds long streams open on two VMs when
-    # the operator withdraws it. Both streams end and nothing new begins,
-    # on either VM, while the customer's other key works on.
-    # Cause of a leak: keys are only checked when a request begins.
+    # Guards against open streams that outlive the withdrawal of their key,
+    # which happens if keys are only checked when a request begins. Streams on
+    # both VMs end, new requests with the key are refused, and the customer's
+    # other key keeps working.
     with processes.running(tmp_path) as system:
         deployment = system.deployment
         stolen = json.loads(
@@ -68,24 +68,27 @@
 def test_platform_outage_stops_neither_streams_nor_batch(
     tmp_path: pathlib.Path,
 ) -> None:
-    # The platform's service is out. Readers' streams go on, new requests are
-    # served, quiz items run; an operator's edit is refused with the reason,
-    # and comes in force when it is made again after the outage.
+    # Guards against an outage of the platform that stops the service. Open
+    # streams continue, new requests are served and batch items run. An
+    # operator's edit is refused with the reason, and takes effect when it is
+    # repeated after the outage.
     domains = ("north", "south", "east")
     with processes.running(tmp_path, domains, engines=3) as system:
         deployment = system.deployment
         first, second, _ = system.daemons
         job = system.submit(first, JOB_ITEMS, 20)
-        # Without the platform no chunk is begun, but those begun go on.
-        fleet_lib.poll(lambda: _batch_runs(system) > 20, 30.0, "items run")
+        # During an outage no chunk is started, but started ones continue.
+        fleet_lib.poll(
+            lambda: _count_engine_runs(system) > 20, 30.0, "items run"
+        )
         stream = system.stream(first, "long glossary", 400)
         fleet_lib.poll(stream.has_begun, 30.0, "the stream has begun")
-        items_before = _batch_runs(system)
+        items_before = _count_engine_runs(system)
         deployment.set_platform_faults(outage=True)
         assert not stream.has_ended()
         assert system.complete(second, "new word").status == 200
         fleet_lib.poll(
-            lambda: _batch_runs(system) > items_before + 50,
+            lambda: _count_engine_runs(system) > items_before + 50,
             30.0,
             "items run during the outage",
         )
@@ -113,12 +116,12 @@
 def test_vm_that_restarts_in_an_outage_gets_its_configuration(
     tmp_path: pathlib.Path,
 ) -> None:
-    # During an outage of the platform a VM is replaced. It keeps nothing,
-    # and its customers must not meet an empty VM until the outage is over.
-    # Cause of a failure: configuration comes from the platform only.
+    # Guards against a VM that is replaced during an outage of the platform and
+    # has no configuration until the outage ends. It happens if a VM fetches its
+    # configuration from the platform only and not from its peers.
     with processes.running(tmp_path) as system:
         old, other = system.daemons
-        # A part that nobody has claimed yet cannot be claimed in an outage.
+        # A part without an owner cannot be claimed during an outage.
         fleet_lib.poll(
             lambda: len(system.dump(other)["limits"]["owned"]) == shares.PAGES,
             30.0,
@@ -135,18 +138,17 @@
             headers=deployment_lib.bearer("bd-unknown"),
         )
         assert refused.status == 401
-        # Its tokens may still be with its predecessor until the platform can
-        # say so, but the customer's key and row are known.
+        # The customer's key and row are known, but until the outage ends the
+        # tokens may still be accounted to the replaced VM.
         assert system.complete(new, "word").status in (200, 429)
 
 
 def test_request_that_crashes_engines_costs_only_a_few(
     tmp_path: pathlib.Path,
 ) -> None:
-    # One prompt crashes each engine that runs it, and its caller sends it
-    # again and again, through one VM and the other. Without a guard every
-    # engine of the fleet is gone after as many tries. After two crashes it
-    # gets its final answer at once, and others are served.
+    # Guards against a prompt that crashes each engine that runs it and that
+    # its caller repeats through both VMs until no engine is left. After two
+    # crashes the request is refused at once, and other requests are served.
     with processes.running(tmp_path, engines=4) as system:
         engines = [
             process
@@ -173,7 +175,7 @@
             assert system.complete(daemon, "harmless").status == 200
 
 
-def _batch_runs(system: processes.System) -> int:
+def _count_engine_runs(system: processes.System) -> int:
     runs = 0
     for process in system.deployment.fleet.processes:
         if process.name.startswith("engine"):
--- a/tests/process/test_cuts.py
+++ b/tests/process/test_cuts.py
@@ -1,4 +1,4 @@
-"""Failure domains cut off from each other and the platform, as processes."""
+"""Tests network partitions between failure domains, with real processes."""
 
 import json
 import pathlib
@@ -11,13 +11,14 @@
 TOKENS = 20
 
 
-def test_cut_off_domain_serves_and_then_agrees(tmp_path: pathlib.Path) -> None:
-    # South loses the platform and north for some seconds, in the middle of a
-    # quiz batch. Householders on both sides are served all the while. An
-    # operator withdraws a key at north, which cannot reach south; when the
-    # cut ends, south refuses it within seconds and every item has one
-    # result. Cause of a failure: what one side did meanwhile undoes, doubles
-    # or outlives what the other did.
+def test_partitioned_domain_serves_and_converges(
+    tmp_path: pathlib.Path,
+) -> None:
+    # Guards against changes on one side of a partition that undo, duplicate or
+    # outlive those of the other side. South loses the platform and north during
+    # a batch job, and callers on both sides are served. An operator withdraws a
+    # key at north; after the partition south refuses the key within seconds,
+    # and every item has exactly one result.
     with processes.running(tmp_path, has_links=True) as system:
         deployment = system.deployment
         north, south = system.daemons
@@ -28,7 +29,9 @@
         deployment.wait_in_force()
         thief = processes.System(deployment, stolen["key"])
         job = system.submit(north, ITEMS, TOKENS)
-        fleet_lib.poll(lambda: _runs(system) > 0, 30.0, "items run")
+        fleet_lib.poll(
+            lambda: _count_engine_runs(system) > 0, 30.0, "items run"
+        )
         for daemon in system.daemons:
             deployment.links[daemon.vm].peers.cut()
         deployment.links[south.vm].platform.cut()
@@ -59,7 +62,7 @@
             system.check_results(daemon, job, ITEMS, TOKENS)
 
 
-def _runs(system: processes.System) -> int:
+def _count_engine_runs(system: processes.System) -> int:
     runs = 0
     for process in system.deployment.fleet.processes:
         if process.name.startswith("engine"):
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -1,4 +1,4 @@
-"""How the gateway's process starts."""
+"""Tests the start of the gateway's process."""
 
 import os
 import pathlib
@@ -10,12 +10,13 @@
 
 
 def test_a_reload_before_the_process_is_ready_does_not_end_it() -> None:
-    """Operators have a settings file read again while a process starts.
+    """Guards against a SIGHUP that ends a process while it starts.
 
-    Until the handlers are there SIGHUP ends the process, and the requests
-    that its callers had kept for it are lost.
+    Operators send SIGHUP to reload the settings file. Before a handler is
+    installed it would end the process and lose the requests that callers hold
+    for it.
     """
-    # The signal comes with the first import of the program's own.
+    # The signal is raised at the first import of the package `bulrushdeal`.
     code = (
         "import runpy, signal, sys\n"
         "class Finder:\n"
--- a/tests/process/test_whole.py
+++ b/tests/process/test_whole.py
@@ -1,7 +1,7 @@
-"""The whole path over real processes, as the demo shows it."""
+"""Tests the whole system with real processes by running the demo."""
 
 from standins import demo
 
 
-def test_each_step_of_the_demo_holds() -> None:
+def test_demo_succeeds() -> None:
     assert demo.main() == 0
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in engine: a cancelled stream goes on by its name."""
+"""Tests for resuming cancelled streams of the stand-in engine."""
 
 import json
 
@@ -11,7 +11,7 @@
 TIMING = engine.Timing(token_s=0.005, token_per_stream_s=0.0, prefill_s=0.0)
 
 
-def call(address: str, stream: str, body: dict[str, object]) -> str:
+def complete(address: str, stream: str, body: dict[str, object]) -> str:
     answer = urllib3.request(
         "POST",
         f"http://{address}{engine.TEXT_PATH}",
@@ -37,10 +37,10 @@
         pass
     streamed = web.fingerprint(json.dumps({**BODY, "stream": True}).encode())
     assert streamed != web.fingerprint(json.dumps(BODY).encode())
-    # Another body under the same name has nothing to go on from.
-    whole = call(server.address, "item-1", BODY)
+    # The same `X-Stream-Id` with another body resumes nothing.
+    whole = complete(server.address, "item-1", BODY)
     assert whole == "".join(engine.words("What is a drain?", 40))
-    assert call(server.address, "item-1", BODY) == whole
+    assert complete(server.address, "item-1", BODY) == whole
     server.stop()
 
 
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the process harness itself."""
+"""Tests for the process harness."""
 
 import pathlib
 import sys
@@ -7,7 +7,7 @@
 
 from standins import fleet as fleet_lib
 
-TALKER = """
+PROGRAM = """
 import signal, sys, time
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(3))
 print("listening 127.0.0.1:9")
@@ -19,7 +19,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     with fleet_lib.Fleet(tmp_path) as fleet:
-        process = fleet.start("talker", [sys.executable, "-c", TALKER])
+        process = fleet.start("talker", [sys.executable, "-c", PROGRAM])
         assert process.address() == "127.0.0.1:9"
         process.pause()
         process.terminate()
@@ -41,7 +41,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     fleet = fleet_lib.Fleet(tmp_path)
-    process = fleet.start("talker", [sys.executable, "-c", TALKER])
+    process = fleet.start("talker", [sys.executable, "-c", PROGRAM])
     process.address()
     process.pause()
     fleet.stop()
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform behaves as the platform is described."""
+"""Tests that the stand-in platform behaves as its interfaces specify."""
 
 import json
 from typing import Any
@@ -19,32 +19,32 @@
 
 
 @given(steps)
-def test_compare_and_swap_follows_a_dictionary(taken: list[Any]) -> None:
-    space = keyspace.Keyspace()
-    oracle: dict[str, tuple[int, bytes]] = {}
+def test_compare_and_swap_matches_a_dictionary(applied: list[Any]) -> None:
+    store = keyspace.Keyspace()
+    model: dict[str, tuple[int, bytes]] = {}
     changed: dict[str, int] = {}
-    for kind, key, expected, value in taken:
-        held = oracle.get(key, (0, b""))
-        before = space.revision
+    for kind, key, expected, value in applied:
+        held = model.get(key, (0, b""))
+        before = store.revision
         if kind == "put":
-            revision, _ = space.put(key, value, expected)
+            revision, _ = store.put(key, value, expected)
             assert bool(revision) == (held[0] == expected)
             if revision:
-                oracle[key] = (revision, value)
+                model[key] = (revision, value)
         else:
-            is_deleted, _ = space.delete(key, expected)
-            assert is_deleted == (key in oracle and held[0] == expected)
+            is_deleted, _ = store.delete(key, expected)
+            assert is_deleted == (key in model and held[0] == expected)
             if is_deleted:
-                del oracle[key]
-        assert space.revision - before in (0, 1)
-        if space.revision != before:
-            changed[key] = space.revision
-    listed, _ = space.list("a/")
+                del model[key]
+        assert store.revision - before in (0, 1)
+        if store.revision != before:
+            changed[key] = store.revision
+    listed, _ = store.list("a/")
     assert [(h.key, h.revision, h.value) for h in listed] == [
-        (key, *oracle[key]) for key in sorted(oracle) if key.startswith("a/")
+        (key, *model[key]) for key in sorted(model) if key.startswith("a/")
     ]
-    for after in range(space.revision + 1):
-        seen, _ = space.watch("", after, 0.0)
+    for after in range(store.revision + 1):
+        seen, _ = store.watch("", after, 0.0)
         assert {h.key: h.revision for h in seen} == {
             key: revision
             for key, revision in changed.items()
@@ -52,26 +52,26 @@
         }
 
 
-def test_a_key_goes_with_its_lease() -> None:
-    space = keyspace.Keyspace()
-    short, long = space.grant(0.05), space.grant(60.0)
-    space.put("a", b"", 0, short)
-    space.put("b", b"", 0, long)
-    # The watch itself notices that the lease lapsed.
-    (gone,), _ = space.watch("a", space.revision, 20.0)
+def test_keys_are_deleted_when_their_lease_ends() -> None:
+    store = keyspace.Keyspace()
+    short, long = store.grant(0.05), store.grant(60.0)
+    store.put("a", b"", 0, short)
+    store.put("b", b"", 0, long)
+    # The watch itself detects that the lease expired.
+    (gone,), _ = store.watch("a", store.revision, 20.0)
     assert gone.is_deleted
-    assert not space.renew(short)
-    assert space.renew(long)
-    assert space.revoke(long)
-    assert space.list("")[0] == ()
-    assert space.put("c", b"", 0, "no such lease") == (0, None)
+    assert not store.renew(short)
+    assert store.renew(long)
+    assert store.revoke(long)
+    assert store.list("")[0] == ()
+    assert store.put("c", b"", 0, "no such lease") == (0, None)
 
 
 def test_faults_and_counts_over_http() -> None:
-    served = platform.Platform(weight_loads_per_s=0.1)
-    served.start()
+    stand_in = platform.Platform(weight_loads_per_s=0.1)
+    stand_in.start()
     http = urllib3.HTTPConnectionPool(
-        "127.0.0.1", served.port, retries=False, timeout=20.0
+        "127.0.0.1", stand_in.port, retries=False, timeout=20.0
     )
 
     def call(method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
@@ -90,29 +90,29 @@
     assert call("PUT", put + "0", b"two")[0] == 409
     assert call("POST", "/v1/faults", b'{"lose_next_answers": 1}')[0] == 200
     assert is_dropped("PUT", put + "1")
-    # The answer was lost after the effect.
+    # The write took effect although its answer was lost.
     entry = json.loads(call("GET", "/v1/kv/a%20b")[1])
     assert (entry["key"], entry["revision"]) == ("a b", 2)
-    served.fault(outage=True)
+    stand_in.fault(outage=True)
     assert is_dropped("PUT", put + "2")
-    served.fault(outage=False)
+    stand_in.fault(outage=False)
     assert json.loads(call("GET", "/v1/kv/a%20b")[1])["revision"] == 2
     assert call("GET", "/v1/weights/m")[0] == 200
     assert call("GET", "/v1/weights/m")[0] == 429
     calls = json.loads(call("GET", "/v1/stats")[1])["calls"]
     assert calls == {"put": 4, "get": 2, "weights": 2}
-    served.stop(0.1)
+    stand_in.stop(0.1)
 
 
-def test_the_list_of_vms_lags() -> None:
-    served = platform.Platform()
+def test_vm_list_lags() -> None:
+    stand_in = platform.Platform()
     vm = '{"failure_domain": "d", "role": "entry", "peer_address": "h:1"}'
-    served.start()
-    http = urllib3.HTTPConnectionPool("127.0.0.1", served.port, retries=False)
-    served.fault(list_lag_s=3600.0)
+    stand_in.start()
+    http = urllib3.HTTPConnectionPool("127.0.0.1", stand_in.port, retries=False)
+    stand_in.fault(list_lag_s=3600.0)
     http.request("PUT", "/v1/vms/vm-1", body=vm.encode())
     assert http.request("GET", "/v1/vms").json()["vms"] == []
-    served.fault(list_lag_s=0.0)
+    stand_in.fault(list_lag_s=0.0)
     answer = http.request("GET", "/v1/vms")
     assert [row["vm"] for row in answer.json()["vms"]] == ["vm-1"]
     again = http.request(
@@ -121,4 +121,4 @@
     assert again.status == 304
     http.request("DELETE", "/v1/vms/vm-1")
     assert http.request("GET", "/v1/vms").json()["vms"] == []
-    served.stop(0.1)
+    stand_in.stop(0.1)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Real daemons with their stand-ins, and clients that check each answer."""
+"""Real daemons with their stand-ins, and clients that verify answers."""
 
 from collections.abc import Iterator, Sequence
 import contextlib
@@ -16,7 +16,9 @@
 WAIT_S = 60.0
 
 
-def call_of(text: str, max_tokens: int, stream: bool = False) -> dict[str, Any]:
+def chat_call(
+    text: str, max_tokens: int, stream: bool = False
+) -> dict[str, Any]:
     return {
         "model": "textbook",
         "messages": [{"role": "user", "content": text}],
@@ -31,10 +33,10 @@
 
 
 class Stream:
-    """One streamed completion, read on a thread of its own."""
+    """One streamed completion, read on a separate thread."""
 
     def __init__(self, address: str, key: str, text: str, tokens: int) -> None:
-        self.call = call_of(text, tokens, stream=True)
+        self.call = chat_call(text, tokens, stream=True)
         self.status = 0
         self.text = ""
         self.error = ""
@@ -51,7 +53,7 @@
         return not self._thread.is_alive()
 
     def check(self) -> None:
-        """Fails unless the whole answer to this call came."""
+        """Fails unless the complete answer to this call arrived."""
         fleet_lib.poll(self.has_ended, WAIT_S, "the stream ends")
         assert (self.status, self.error) == (200, "")
         assert self.is_whole
@@ -90,16 +92,17 @@
 
 
 class KeepAliveClient:
-    """Sends requests one after the other, over one connection if it may.
+    """Sends requests one after another and reuses its connection if possible.
 
-    Before it connects it looks at the VM's health, as the balancer does.
+    It checks the VM's health on each new connection, as the load balancer does.
     """
 
     def __init__(self, address: str, key: str, name: str) -> None:
         self.answered = 0
         self.problems: list[str] = []
-        # Why it went to another VM, as the balancer would.
-        self.departure = ""
+        # Why the health check failed, after which a load balancer would use
+        # another VM; empty if it did not fail.
+        self.leave_reason = ""
         self._address = address
         self._key = key
         self._name = name
@@ -107,9 +110,9 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def has_shown(self) -> bool:
-        """Tells whether it was answered, or why it never will be."""
-        return bool(self.answered or self.problems or self.departure)
+    def has_outcome(self) -> bool:
+        """Returns whether a request was answered or the client gave up."""
+        return bool(self.answered or self.problems or self.leave_reason)
 
     def stop(self) -> None:
         self._stopping.set()
@@ -122,18 +125,18 @@
                 connection.request("GET", "/healthz")
                 health = connection.getresponse()
             except (OSError, http.client.HTTPException) as error:
-                self.departure = repr(error)
+                self.leave_reason = repr(error)
                 return
             body = health.read()
             if health.status != 200 or health.will_close:
-                self.departure = f"{health.status} {body!r}"
+                self.leave_reason = f"{health.status} {body!r}"
                 return
-            if not self._use(connection):
+            if not self._send_requests(connection):
                 return
 
-    def _use(self, connection: http.client.HTTPConnection) -> bool:
+    def _send_requests(self, connection: http.client.HTTPConnection) -> bool:
         while not self._stopping.is_set():
-            call = call_of(f"{self._name} {self.answered}", 3)
+            call = chat_call(f"{self._name} {self.answered}", 3)
             headers = deployment_lib.bearer(self._key)
             try:
                 connection.request("POST", CHAT, json.dumps(call), headers)
@@ -147,7 +150,7 @@
                 return False
             content = body["choices"][0]["message"]["content"]
             if content != expected_text(call):
-                self.problems.append(f"crossed answer: {content}")
+                self.problems.append(f"answer to another request: {content}")
             self.answered += 1
             if response.will_close:
                 return True
@@ -163,7 +166,7 @@
 
 
 class System:
-    """A deployment with one customer whose key is in force everywhere."""
+    """A running deployment, used with the key of one customer."""
 
     def __init__(self, deployment: deployment_lib.Deployment, key: str) -> None:
         self.deployment = deployment
@@ -172,12 +175,12 @@
         self.headers = deployment_lib.bearer(key)
 
     def check_admitted(self, daemon: deployment_lib.Daemon) -> None:
-        """Fails if a VM that says it is ready refuses a first request."""
+        """Fails if a VM that reports that it is ready refuses a request."""
         answer = self.complete(daemon, "first")
         assert answer.status == 200, (daemon.vm, answer.body)
 
     def dump(self, daemon: deployment_lib.Daemon) -> Any:
-        """Returns the state of a daemon's services."""
+        """Returns the state dump of a daemon's services."""
         headers = deployment_lib.bearer(deployment_lib.OPERATOR_TOKEN)
         answer = self.deployment.call(
             "GET", daemon.operators, "/v1/dump", headers=headers
@@ -188,7 +191,7 @@
         self, daemon: deployment_lib.Daemon, text: str
     ) -> deployment_lib.Answer:
         return self.deployment.call(
-            "POST", daemon.callers, CHAT, call_of(text, 3), self.headers
+            "POST", daemon.callers, CHAT, chat_call(text, 3), self.headers
         )
 
     def stream(
@@ -199,7 +202,7 @@
     def submit(
         self, daemon: deployment_lib.Daemon, items: int, tokens: int
     ) -> str:
-        """Submits a job and returns its ID once it was acknowledged."""
+        """Submits a job and returns its ID after the acknowledgement."""
         path = self.deployment.fleet.folder / "items.jsonl"
         lines = [
             json.dumps(
@@ -207,7 +210,7 @@
                     "custom_id": f"item-{index}",
                     "method": "POST",
                     "url": CHAT,
-                    "body": call_of(f"quiz {index}", tokens),
+                    "body": chat_call(f"quiz {index}", tokens),
                 }
             )
             for index in range(items)
@@ -220,12 +223,12 @@
         return str(json.loads(output[output.index("{") :])["id"])
 
     def job(self, daemon: deployment_lib.Daemon, job: str) -> Any:
-        """Returns a job as its customer sees it; empty if not for now."""
+        """Returns a job as its customer sees it; empty if it is unavailable."""
         answer = self.deployment.call(
             "GET", daemon.callers, f"/v1/batches/{job}", headers=self.headers
         )
-        # A stop of a fleet's members may keep a record out of reach a while;
-        # that there is no such job, or an internal error, is never right.
+        # While VMs stop, a record may be unavailable for a while. An internal
+        # error, or an answer that the job does not exist, is always a fault.
         assert answer.status in (200, 503), answer.body
         return answer.value() if answer.status == 200 else {}
 
@@ -256,12 +259,12 @@
     def check_results(
         self, daemon: deployment_lib.Daemon, job: str, items: int, tokens: int
     ) -> None:
-        """Fails unless each item has exactly one result, its own."""
+        """Fails unless each item has exactly one result, and the right one."""
         wanted = [
             Result(
                 f"item-{index}",
                 200,
-                expected_text(call_of(f"quiz {index}", tokens)),
+                expected_text(chat_call(f"quiz {index}", tokens)),
             )
             for index in range(items)
         ]
@@ -287,7 +290,10 @@
     settings: dict[str, str] | None = None,
     has_links: bool = False,
 ) -> Iterator[System]:
-    """Runs a daemon in each failure domain, and engines in turn."""
+    """Runs a daemon in each failure domain, and engines spread over them.
+
+    If the test fails, it prints the logs and the state of the limits.
+    """
     with fleet_lib.Fleet(folder) as fleet:
         deployment = deployment_lib.Deployment(fleet)
         deployment.has_links = has_links
