--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
 """Sets up hypothesis so that every run gives the same verdict.
 
-Tests that `KNOWN-RED.txt` names fail for faults that are not mended yet. They
-run, and are printed; one that passes fails the run until its line is gone.
+`KNOWN-RED.txt` lists tests that fail because of faults that are not fixed
+yet. These tests still run and are printed. If one of them passes, the run
+fails until its line is removed.
 """
 
 import os
@@ -11,11 +12,11 @@
 import pytest
 
 _KNOWN_RED = pathlib.Path(__file__).parents[1] / "KNOWN-RED.txt"
-_MOST_KNOWN_RED = 3
+_MAX_KNOWN_RED = 3
 
 # Shrinking a failure of a large state machine takes minutes and does not
-# change the verdict; `HYPOTHESIS_PROFILE=shrink` gives the small example.
-_WITHOUT_SHRINKING = [
+# change the verdict; `HYPOTHESIS_PROFILE=shrink` prints a minimal example.
+_PHASES_WITHOUT_SHRINKING = [
     hypothesis.Phase.explicit,
     hypothesis.Phase.reuse,
     hypothesis.Phase.generate,
@@ -26,7 +27,7 @@
 hypothesis.settings.register_profile(
     "ci",
     hypothesis.settings.get_profile("shrink"),
-    phases=_WITHOUT_SHRINKING,
+    phases=_PHASES_WITHOUT_SHRINKING,
 )
 hypothesis.settings.register_profile(
     "fuzz", deadline=None, database=None, max_examples=2000
@@ -35,18 +36,18 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Returns the cause of each test that is known to fail."""
+    """Returns the cause of each known failure, by the test's ID."""
     if not _KNOWN_RED.exists():
         return {}
     lines = _KNOWN_RED.read_text().splitlines()
-    if len(lines) > _MOST_KNOWN_RED:
+    if len(lines) > _MAX_KNOWN_RED:
         raise pytest.UsageError("KNOWN-RED.txt has more than three lines.")
     pairs = [line.partition(", ")[::2] for line in lines]
     return dict(pairs)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expects the failures that are known, and no others."""
+    """Marks the known failures as expected."""
     known = _known_red()
     for item in items:
         if item.nodeid in known:
@@ -57,21 +58,21 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Prints the failures that are known."""
+    """Prints the known failures."""
     for report in terminalreporter.getreports("xfailed"):
         terminalreporter.write_line(f"known red: {report.nodeid}")
 
 
-def _group(item: pytest.Item) -> str:
-    """Returns the tests that run one after the other in one process.
+def _xdist_group(item: pytest.Item) -> str:
+    """Returns the group whose tests run one after another in one process.
 
-    Those over real processes wait for what other processes do: several at a
-    time take the processor from each other.
+    All tests that start real processes are one group: they wait for other
+    processes, and several at a time would take the processor from each other.
     """
     return "process" if item.path.parent.name == "process" else str(item.path)
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_itemcollected(item: pytest.Item) -> None:
-    """Keeps each file's tests together, and those over processes."""
-    item.add_marker(pytest.mark.xdist_group(_group(item)))
+    """Groups the tests of each file, and all that start real processes."""
+    item.add_marker(pytest.mark.xdist_group(_xdist_group(item)))
--- a/tests/support/machines.py
+++ b/tests/support/machines.py
@@ -1,13 +1,16 @@
-"""How many examples a state machine runs."""
+"""Hypothesis settings of the state machines."""
 
 import hypothesis
 
 
 def settings(examples: int, steps: int) -> hypothesis.settings:
-    """Returns a machine's settings.
+    """Returns a state machine's settings.
 
-    `examples` holds where each run has to give the same verdict. A profile
-    that explores, as `make fuzz`, says itself how many it runs.
+    Args:
+        examples: The number of examples in profiles that give the same
+            verdict in each run. Profiles that explore at random, such as that
+            of `make fuzz`, set their own number.
+        steps: The number of steps in each example.
     """
     profile = hypothesis.settings()
     count = examples if profile.derandomize else profile.max_examples
