--- a/tests/daemon/test_mixed.py
+++ b/tests/daemon/test_mixed.py
@@ -1,24 +1,40 @@
-"""All failures together on the whole path, against a few simple oracles.
-
-Story: a domain is cut off while the platform is out, a VM is lost with
-bookings under way, their callers send them again elsewhere, a key is
-withdrawn and a batch job goes on. A user sees a booking made twice, another's
-answer, a withdrawn key work again, more served than the row allows, or an
-item that never completes. Cause: guards that each hold alone rest on each
-other when two things fail at once, or one fails twice.
-
-Trials with one guard taken out, on scratch copies. It failed without: the
-claim of an intent before sending, and its compare-and-swap ("a booking ran
-twice"); the rule that only idempotent calls are tried again (the same);
-"unknown" as a final outcome (VMs disagree); the end of open answers, or the
-refusal, of a withdrawn key; the leaving mark of upstreams ("got work"); the
-tokens' leaving the owner's bucket ("admitted over the row"); later revisions
-only. Depending on the seeds it failed without: what ran of earlier tries,
-quarantine, copies made after a disk's loss, stalled chunks given back,
-messages for credit taken once. It never did without: the base of a change,
-the epoch of credit, its void after a drop, what holders report, room for a
-lost owner's credit, the revision of an older claim, the list of VMs asked
-before an intent is given up.
+"""Tests all faults together on the whole request path, against oracles.
+
+Guards that each work alone can depend on each other when two faults occur at
+once or one occurs twice: a domain is cut off during an outage of the
+platform, a VM is lost while it serves bookings, clients send them again to
+other VMs, a key is withdrawn and a batch job runs. The test fails if a booking
+runs twice, a client gets the answer to another request, a withdrawn key works
+again, more is admitted than the customer's row allows, or a batch item never
+completes.
+
+Trials on scratch copies, each with one guard removed, gave these results.
+
+The test failed without:
+- the claim of an intent before sending ("a booking ran twice");
+- the compare-and-swap of that claim (the same);
+- the rule that only idempotent calls are retried (the same);
+- "unknown" as a final outcome (VMs disagree);
+- the end of open answers, or the refusal, of a withdrawn key;
+- the leaving mark of upstreams ("a leaving upstream got a request");
+- the removal of lent tokens from the owner's bucket ("admitted over the row");
+- the rule that only later revisions are applied.
+
+Depending on the seeds, it failed without:
+- the record of whether earlier attempts ran;
+- quarantine;
+- new copies after the loss of a disk;
+- the return of stalled chunks;
+- the rule that a message about credit is applied only once.
+
+It never failed without:
+- the base of a change;
+- the epoch of credit;
+- the voiding of credit after a drop;
+- the reports of holders;
+- the room kept for a lost owner's credit;
+- the revision of an older claim;
+- the list of VMs that are asked before an intent is given up.
 """
 
 from typing import Any
@@ -39,19 +55,19 @@
 from support import mixedvm
 
 CUSTOMERS = test_batchmachine.KEYS
-HAPPENINGS = ("lose", "resend", "withdraw", "outage")
-WHATS = st.sampled_from((*HAPPENINGS, *mixedupstreams.FAULTS))
-FAULTY_STEPS = 16
+IN_FLIGHT_ACTIONS = ("lose", "resend", "withdraw", "outage")
+OCCURRENCES = st.sampled_from((*IN_FLIGHT_ACTIONS, *mixedupstreams.FAULTS))
+RECOVERY_PERIOD_STEPS = 16
 VMS = test_batchmachine.VMS
 customers = st.sampled_from(CUSTOMERS)
 variants = st.sampled_from(test_batchmachine.VARIANTS)
-# None is cut off in half of the draws.
+# Half of the draws cut off no domain.
 domains = st.sampled_from(("", "", "", "d0", "d1", "d2"))
 counts = st.integers(0, 2)
 
 
 class MixedMachine(test_batchmachine.BatchMachine):
-    """Batch work as in `BatchMachine`, beside all else and more faults."""
+    """Adds online requests, operators' edits and more faults to batch jobs."""
 
     refused = (401, 429, 503)
 
@@ -69,7 +85,7 @@
         self.fleet.run(5)
 
     def make_fleet(self, patch: pytest.MonkeyPatch) -> mixedfleet.Fleet:
-        mixedvm.patch(patch)
+        mixedvm.make_deterministic(patch)
         rows = tuple(
             records.Customer(name, rate_per_s=20.0, burst=30.0)
             for name in CUSTOMERS
@@ -78,10 +94,10 @@
         fleet.store_pages(rows)
         return fleet
 
-    def is_joined(self) -> bool:
-        """Whether each VM reaches each other and the platform."""
+    def is_connected(self) -> bool:
+        """Whether all VMs reach each other and the platform."""
         vms = self.fleet.vms.values()
-        is_cut = self.fleet.cut or any(vm.platform.is_cut for vm in vms)
+        is_cut = self.fleet.cut_domains or any(vm.platform.is_cut for vm in vms)
         return not (is_cut or self.fleet.net.paused)
 
     def is_well(self) -> bool:
@@ -89,10 +105,12 @@
         is_lossy = net.lose_next_answers or net.lose_next_messages
         is_late = net.delay_next_messages
         return (
-            super().is_well() and self.is_joined() and not (is_lossy or is_late)
+            super().is_well()
+            and self.is_connected()
+            and not (is_lossy or is_late)
         )
 
-    # What clients do online.
+    # Online client actions.
 
     @stateful.rule(
         number=VMS,
@@ -117,10 +135,12 @@
         secret = self.fleet.secrets_of(booking.customer)[0 if is_first else -1]
         self.clients.book(vm, secret, booking, variant)
 
-    @stateful.precondition(lambda self: self.clients.open)
+    @stateful.precondition(lambda self: self.clients.open_answers)
     @stateful.rule(index=st.integers(0, 9))
     def finish(self, index: int) -> None:
-        opened = self.clients.open[index % len(self.clients.open)]
+        opened = self.clients.open_answers[
+            index % len(self.clients.open_answers)
+        ]
         if opened.vm in self.fleet.awake():
             self.clients.finish(opened)
 
@@ -137,19 +157,19 @@
 
     @stateful.rule(customer=customers, count=st.sampled_from((3, 30)))
     def demand(self, customer: str, count: int) -> None:
-        """Many requests that are refused after they were counted."""
+        """Takes tokens like requests that are counted and then refused."""
         for vm in self.fleet.awake():
             for _ in range(count):
-                vm.counted.take(customer)
+                vm.counted_limits.take(customer)
 
     @stateful.rule(number=VMS, key=customers)
     def look(self, number: int, key: str) -> None:
         vm, secret = self.awake(number), self.fleet.secrets_of(key)[-1]
-        # A new key is not known everywhere at once.
+        # A new key takes time to be in force on all VMs.
         if vm is not None and vm.config.authenticate(secret).is_ok():
             super().look(number, key)
 
-    # What operators do.
+    # Operator actions.
 
     @stateful.rule(
         number=VMS,
@@ -173,13 +193,13 @@
             return
         added = rewrites.add_key(self.fleet.new_key(customer))
         if self.fleet.edit(vm, customer, added) != "ok":
-            self.fleet.keys.popitem()
+            self.fleet.customers_by_key.popitem()
             return
         withdrawn = rewrites.withdraw_key(config.hash_key(old))
         if self.fleet.edit(vm, customer, withdrawn) == "ok":
             self.withdrawn_s[old] = self.fleet.world.now_s
 
-    # What fails, beside what fails in `BatchMachine`.
+    # Faults, in addition to those of `BatchMachine`.
 
     @stateful.rule()
     def thaw(self) -> None:
@@ -189,14 +209,16 @@
     @stateful.rule(number=VMS)
     def lose(self, number: int) -> None:
         super().lose(number)
-        self.clients.forget_lost()
+        self.clients.drop_lost()
 
     @stateful.rule(number=VMS)
     def leave(self, number: int) -> None:
         vm = self.awake(number)
         if vm is None or vm.platform.is_cut:
             return
-        for opened in [one for one in self.clients.open if one.vm is vm]:
+        for opened in [
+            one for one in self.clients.open_answers if one.vm is vm
+        ]:
             self.clients.finish(opened)
         super().leave(number)
 
@@ -204,10 +226,11 @@
     def unlist_dead(self) -> None:
         self.fleet.unlist_dead()
 
-    @stateful.precondition(lambda self: self.is_joined())
+    @stateful.precondition(lambda self: self.is_connected())
     @stateful.rule()
     def repair(self) -> None:
-        # One that loses messages is not over, and a second loss may come.
+        # A repair that loses messages would be incomplete, but the machine may
+        # lose another disk right after it.
         self.lose_messages(0, 0, 0)
         super().repair()
 
@@ -217,18 +240,18 @@
 
     @stateful.rule(domain=domains, from_peers=st.booleans())
     def cut(self, domain: str, from_peers: bool) -> None:
-        """Cuts off one domain at most, from all others or the platform."""
+        """Cuts off at most one domain, from the others or from the platform."""
         if from_peers:
-            self.fleet.cut = {domain}
+            self.fleet.cut_domains = {domain}
             return
         for vm in self.fleet.vms.values():
             vm.platform.is_cut = vm.row.failure_domain == domain
 
     @stateful.invariant()
     def recover(self) -> None:
-        """From time to time all that fails ends, or little would be done."""
+        """Ends all faults regularly, as little work gets done under them."""
         self.steps += 1
-        if self.steps % FAULTY_STEPS == 0:
+        if self.steps % RECOVERY_PERIOD_STEPS == 0:
             self.heal()
             self.fleet.run(5)
 
@@ -248,48 +271,48 @@
         self.fleet.upstreams.leaving ^= {vm}
 
     @stateful.rule(
-        what=WHATS,
+        occurrence=OCCURRENCES,
         number=VMS,
         index=st.integers(0, 3),
         is_write=st.booleans(),
     )
-    def meanwhile(
-        self, what: str, number: int, index: int, is_write: bool
+    def inject_in_flight(
+        self, occurrence: str, number: int, index: int, is_write: bool
     ) -> None:
-        """While the next write, or request, is under way, this happens."""
+        """Makes something happen during the next write or upstream request."""
         booking = self.bookings[index]
-        if what not in HAPPENINGS:
-            self.fleet.upstreams.faults = [what]
+        if occurrence not in IN_FLIGHT_ACTIONS:
+            self.fleet.upstreams.faults = [occurrence]
             return
 
-        def happen() -> None:
-            if what == "lose":
+        def act() -> None:
+            if occurrence == "lose":
                 self.lose_active()
-            elif what == "resend":
+            elif occurrence == "resend":
                 self.resend(number, booking)
-            elif what == "withdraw":
+            elif occurrence == "withdraw":
                 self.withdraw(number, booking.customer)
             else:
                 self.fleet.keyvalue.has_outage = True
 
-        place = self.fleet.keyvalue if is_write else self.fleet.upstreams
-        place.meanwhile = happen
+        service = self.fleet.keyvalue if is_write else self.fleet.upstreams
+        service.in_flight_action = act
 
     @stateful.rule(
-        what=WHATS,
+        occurrence=OCCURRENCES,
         numbers=st.permutations(range(4)),
         index=st.integers(0, 3),
         is_write=st.booleans(),
     )
-    def book_meanwhile(
-        self, what: str, numbers: list[int], index: int, is_write: bool
+    def book_and_inject(
+        self, occurrence: str, numbers: list[int], index: int, is_write: bool
     ) -> None:
-        self.meanwhile(what, numbers[0], index, is_write)
+        self.inject_in_flight(occurrence, numbers[0], index, is_write)
         self.book(numbers[1], index, True, "a", False)
 
     def resend(self, number: int, other: mixedclients.Booking) -> None:
-        """A client sends the booking under way again, or another one."""
-        vm, booking = self.awake(number), self.clients.sending
+        """Sends the last booking again, or `other` if that one has no key."""
+        vm, booking = self.awake(number), self.clients.last_booking
         if booking is None or not booking.key:
             booking = other
         if vm is not None:
@@ -297,6 +320,7 @@
             self.clients.book(vm, secret, booking, "a")
 
     def lose_active(self) -> None:
+        """Loses the active VM in the middle of its call."""
         vm = self.fleet.active
         if vm is None:
             return
@@ -309,12 +333,12 @@
         vm = self.awake(number)
         if vm is not None:
             vm.worker.ask()
-            self.fleet.act(vm, lambda: vm.run_items(items))
+            self.fleet.run_unless_lost(vm, lambda: vm.run_items(items))
 
-    # What always holds.
+    # Invariants.
 
     @stateful.invariant()
-    def all_holds(self) -> None:
+    def check_always(self) -> None:
         assert not self.fleet.upstreams.problems
         prompts = self.fleet.upstreams.prompts
         for booking in self.bookings:
@@ -328,12 +352,12 @@
             self.revisions[vm] = held
             mixedchecks.check_withdrawn(self.fleet, vm, self.withdrawn_s)
 
-    # In the end.
+    # Final checks.
 
     def teardown(self) -> None:
         self.heal()
         self.fleet.run(60)
-        for opened in list(self.clients.open):
+        for opened in list(self.clients.open_answers):
             self.clients.finish(opened)
         for booking in self.bookings:
             mixedchecks.check_booking(self.fleet, self.clients, booking)
--- a/tests/support/mixedchecks.py
+++ b/tests/support/mixedchecks.py
@@ -1,4 +1,4 @@
-"""What has to hold in a mixed fleet, at any time or once all is well."""
+"""Checks of a mixed fleet, for any time or for after all faults ended."""
 
 from collections.abc import Mapping
 
@@ -9,9 +9,10 @@
 from support import mixedfleet
 from support import mixedvm
 
-_FINAL = {"answered", "outcome_unknown", "idempotency_key_reused"}
-# The same as for the limits alone; the rest is in rounding and on the way.
-_USED = 0.97
+_FINAL_CODES = {"answered", "outcome_unknown", "idempotency_key_reused"}
+# The fraction of the burst that must be usable, as in `test_limits_faults`.
+# The rest may be lost to rounding or be in transit between VMs.
+_USABLE_FRACTION = 0.97
 
 
 def check_withdrawn(
@@ -19,13 +20,23 @@
     vm: mixedvm.MixedVm,
     withdrawn_s: Mapping[str, float],
 ) -> None:
-    """Holds at any time: what a VM calls confirmed is in force there."""
+    """Checks that a VM has all withdrawals that its age covers.
+
+    This holds at any time: a VM states how old its configuration can be, and
+    each key withdrawn before that must be withdrawn on the VM.
+
+    Args:
+        fleet: The fleet.
+        vm: The VM to check.
+        withdrawn_s: When each withdrawn key was withdrawn, in seconds of the
+            true time.
+    """
     age_s = vm.config.gossip.age_s()
     if age_s < 0:
         return
-    known, since_s = vm.withdrawn(), fleet.world.now_s - age_s
+    hashes, covered_until_s = vm.withdrawn_hashes(), fleet.world.now_s - age_s
     for secret, at_s in withdrawn_s.items():
-        assert at_s >= since_s or config.hash_key(secret) in known
+        assert at_s >= covered_until_s or config.hash_key(secret) in hashes
 
 
 def check_booking(
@@ -33,24 +44,24 @@
     clients: mixedclients.Clients,
     booking: mixedclients.Booking,
 ) -> None:
-    """Each VM gives the same final answer."""
+    """Checks that each VM gives the same final answer to a booking."""
     for variant in sorted(booking.tried):
         codes = set()
         for vm in fleet.vms.values():
             fleet.run(2)
             secret = fleet.secrets_of(booking.customer)[-1]
             code = clients.book(vm, secret, booking, variant)
-            if clients.open:
-                code = clients.finish(clients.open[0])
+            if clients.open_answers:
+                code = clients.finish(clients.open_answers[0])
             codes.add(code)
         assert len(codes) == 1, codes
-        assert codes <= _FINAL
+        assert codes <= _FINAL_CODES
 
 
 def check_config(
     fleet: mixedfleet.Fleet, withdrawn_s: Mapping[str, float]
 ) -> None:
-    """Each VM has the same pages, and no withdrawn key works."""
+    """Checks that all VMs have the same pages and refuse withdrawn keys."""
     vms = fleet.vms.values()
     revisions = {vm.config.revisions() for vm in vms}
     assert len(revisions) == 1, "a change is not in force everywhere"
@@ -59,7 +70,7 @@
 
 
 def check_limits(fleet: mixedfleet.Fleet, customer: str) -> None:
-    """The whole row can be used again."""
+    """Checks that a customer's burst is usable again, but for rounding."""
     vms = list(fleet.vms.values())
     row = vms[0].config.customer(customer)
     assert row is not None
@@ -67,6 +78,6 @@
     fleet.world.now_s += row.burst / row.rate_per_s + 1
     admitted = 0
     for vm in vms + vms:
-        while isinstance(vm.counted.take(customer), result.Ok):
+        while isinstance(vm.counted_limits.take(customer), result.Ok):
             admitted += 1
-    assert admitted >= int(row.burst * _USED), "tokens were lost"
+    assert admitted >= int(row.burst * _USABLE_FRACTION), "tokens were lost"
--- a/tests/support/mixedclients.py
+++ b/tests/support/mixedclients.py
@@ -1,4 +1,4 @@
-"""Clients of the online path, and what they may be told."""
+"""Clients that send online requests and check each answer."""
 
 import json
 from typing import NamedTuple
@@ -10,11 +10,19 @@
 from support import mixedupstreams
 from support import mixedvm
 
-BOOKINGS = "/services/booking/orders"
+BOOKINGS_PATH = "/services/booking/orders"
 
 
 class Booking:
-    """What clients know of the bookings made under one idempotency key."""
+    """The clients' view of the bookings made under one idempotency key.
+
+    Attributes:
+        customer: The customer whose API keys the clients use.
+        key: The idempotency key; empty for bookings without one.
+        tried: The variants of the body that were sent.
+        reply: The body of the answer; empty before the first one.
+        is_unknown: Whether an answer was `outcome_unknown`, which is final.
+    """
 
     def __init__(self, customer: str, key: str) -> None:
         self.customer = customer
@@ -24,17 +32,21 @@
         self.is_unknown = False
 
     def text(self, variant: str) -> str:
+        """Returns the text that the upstream has to echo."""
         return f"{self.customer} {self.key} {variant}"
 
-    def take(self, variant: str, body: bytes) -> None:
+    def record_reply(self, variant: str, body: bytes) -> None:
+        """Checks a reply against its request and earlier ones; keeps it."""
         text = json.loads(body)["choices"][0]["text"]
-        assert text == self.text(variant).upper(), "another's answer"
-        assert self.reply in (b"", body), "two answers to one booking"
+        assert text == self.text(variant).upper(), (
+            "the answer belongs to another request"
+        )
+        assert self.reply in (b"", body), "a booking got two different answers"
         self.reply = body
 
 
-class Open(NamedTuple):
-    """A booking's answer whose head has come."""
+class OpenAnswer(NamedTuple):
+    """An answer to a booking of which only the head was read."""
 
     vm: mixedvm.MixedVm
     response: httpd.Response
@@ -47,17 +59,17 @@
     """Sends requests to any VM and checks each answer.
 
     Attributes:
-        open: Bookings whose answer is still being read.
-        sending: The booking sent last.
+        open_answers: The answers to bookings whose body was not yet read.
+        last_booking: The booking sent last; its request may be in flight.
     """
 
     def __init__(self, fleet: mixedfleet.Fleet) -> None:
-        self.open: list[Open] = []
-        self.sending: Booking | None = None
+        self.open_answers: list[OpenAnswer] = []
+        self.last_booking: Booking | None = None
         self._fleet = fleet
-        self._tries = 0
+        self._attempts = 0
 
-    def ask(
+    def post(
         self,
         vm: mixedvm.MixedVm,
         secret: str,
@@ -65,18 +77,23 @@
         text: str,
         key: str = "",
     ) -> httpd.Response | None:
-        """Sends a request; `None` if its VM is lost meanwhile."""
-        self._tries += 1
-        attempt = f"t{self._tries}"
+        """Sends a request and checks the head of its answer.
+
+        Returns:
+            The response; of an error, the body is its code. `None` if the VM
+            is lost while it serves the request.
+        """
+        self._attempts += 1
+        attempt = f"t{self._attempts}"
         body = json.dumps({"model": "m", "prompt": text}).encode()
         headers = {"x-attempt": attempt, "idempotency-key": key}
         try:
-            response = vm.open(secret, "POST", path, body, headers)
+            response = vm.send(secret, "POST", path, body, headers)
         except mixedupstreams.VmLostError:
             return None
         assert response.status != 500, "a VM failed to serve"
         if response.status == 200:
-            assert config.hash_key(secret) not in vm.withdrawn()
+            assert config.hash_key(secret) not in vm.withdrawn_hashes()
             return response
         error = json.loads(b"".join(response.body))["error"]
         httpd.close(response.body)
@@ -93,20 +110,25 @@
         booking: Booking,
         variant: str,
     ) -> str:
-        """Returns `open`, `answered`, `lost` or the refusal's code."""
+        """Sends a booking.
+
+        Returns:
+            `open` if the body of the answer is still to be read, `answered`
+            if it was replayed, `lost` if the VM was lost, or the error's code.
+        """
         booking.tried.add(variant)
-        self.sending = booking
+        self.last_booking = booking
         text = booking.text(variant)
-        response = self.ask(vm, secret, BOOKINGS, text, booking.key)
+        response = self.post(vm, secret, BOOKINGS_PATH, text, booking.key)
         if response is None:
             return "lost"
         if response.status == 200:
             if "Idempotent-Replayed" not in dict(response.headers):
-                opened = Open(vm, response, secret, booking, variant)
-                self.open.append(opened)
+                opened = OpenAnswer(vm, response, secret, booking, variant)
+                self.open_answers.append(opened)
                 return "open"
             assert not booking.is_unknown
-            booking.take(variant, b"".join(response.body))
+            booking.record_reply(variant, b"".join(response.body))
             httpd.close(response.body)
             return "answered"
         code = b"".join(response.body).decode()
@@ -115,31 +137,38 @@
             assert booking.tried - {variant}
         return code
 
-    def finish(self, opened: Open) -> str:
-        self.open.remove(opened)
+    def finish(self, opened: OpenAnswer) -> str:
+        """Reads the rest of an answer; returns `answered` or `broken`."""
+        self.open_answers.remove(opened)
         key_hash = config.hash_key(opened.secret)
-        is_withdrawn = key_hash in opened.vm.withdrawn()
+        is_withdrawn = key_hash in opened.vm.withdrawn_hashes()
         try:
             body = b"".join(opened.response.body)
         except calls.BrokenAnswerError:
             return "broken"
         finally:
             httpd.close(opened.response.body)
-        assert not is_withdrawn, "an open answer outlived its key"
-        opened.booking.take(opened.variant, body)
+        assert not is_withdrawn, (
+            "an open answer went on after its key was withdrawn"
+        )
+        opened.booking.record_reply(opened.variant, body)
         return "answered"
 
     def complete(self, vm: mixedvm.MixedVm, customer: str, text: str) -> None:
-        """Calls a model."""
+        """Calls a model and checks its answer."""
         secret = self._fleet.secrets_of(customer)[-1]
-        response = self.ask(vm, secret, "/v1/completions", text)
+        response = self.post(vm, secret, "/v1/completions", text)
         if response is None or response.status != 200:
             return
         body = json.loads(b"".join(response.body))
         httpd.close(response.body)
-        assert body["choices"][0]["text"] == text.upper(), "another's answer"
+        assert body["choices"][0]["text"] == text.upper(), (
+            "the answer belongs to another request"
+        )
 
-    def forget_lost(self) -> None:
-        """The connections to VMs that are lost are broken."""
+    def drop_lost(self) -> None:
+        """Drops the open answers of lost VMs, whose connections broke."""
         vms = self._fleet.vms.values()
-        self.open = [opened for opened in self.open if opened.vm in vms]
+        self.open_answers = [
+            opened for opened in self.open_answers if opened.vm in vms
+        ]
--- a/tests/support/mixedupstreams.py
+++ b/tests/support/mixedupstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams in memory that echo, count runs and fail as they are told."""
+"""In-memory upstreams that echo, count runs and fail on request."""
 
 import collections
 from collections.abc import Callable, Iterator, Mapping
@@ -11,8 +11,8 @@
 from bulrushdeald import services
 from support import batchupstreams
 
-# How the next request fails: no connection, broken before or after it ran,
-# or broken inside the answer.
+# How the next request fails: no connection, a connection that breaks before
+# or after the request ran, or one that breaks inside the answer.
 Fault = Literal["unreachable", "not_taken", "no_answer", "cut_answer"]
 FAULTS: tuple[Fault, ...] = (
     "unreachable",
@@ -31,11 +31,14 @@
 
 
 class VmLostError(BaseException):
-    """Ends what a VM does at the point where the VM is lost."""
+    """Aborts a VM's call at the point where the VM is lost.
+
+    It is no `Exception`, so that no handler of the VM catches it.
+    """
 
 
 class Answer(batchupstreams.FakeAnswer):
-    """An answer in two pieces, which may break off between them."""
+    """An answer in two chunks; its connection may break between them."""
 
     def __init__(self, body: bytes, is_cut: bool) -> None:
         super().__init__(200, body)
@@ -60,28 +63,28 @@
     """All upstreams of a fleet; see `services.Upstreams`.
 
     Attributes:
-        faults: Of the next requests.
-        meanwhile: Runs once while the next request is at its upstream.
-        breaks: How often the connection of a text broke.
-        attempts: The clients' tries that ran.
-        secrets: What no upstream may see.
-        leaving: VMs whose upstreams may get nothing new.
-        problems: What was seen here that may never be.
+        faults: The faults of the next requests, the next one last.
+        in_flight_action: Runs once, while the next request is at its upstream.
+        breaks: How often a connection broke, by the text of the request.
+        attempts: The IDs (`x-attempt`) of the clients' requests that ran.
+        secrets: The API keys, which must never reach an upstream.
+        leaving: The VMs whose upstreams must not get new requests.
+        problems: The violations found so far.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.faults: list[Fault] = []
-        self.meanwhile: Callable[[], None] | None = None
+        self.in_flight_action: Callable[[], None] | None = None
         self.breaks: collections.Counter[str] = collections.Counter()
         self.attempts: set[str] = set()
         self.secrets: list[str] = []
         self.leaving: set[str] = set()
         self.problems: list[str] = []
 
-    def _expect(self, is_so: bool, problem: str) -> None:
-        # An error raised here would be taken for a fault of the request.
-        if not is_so:
+    def _require(self, is_met: bool, problem: str) -> None:
+        # The VM would handle an error raised here as a failed request.
+        if not is_met:
             self.problems.append(problem)
 
     def send(
@@ -96,11 +99,13 @@
         is_fresh: bool = False,
         on_open: Callable[[Callable[[], None]], None] | None = None,
     ) -> result.Result[services.UpstreamAnswer, services.UpstreamError]:
-        self._expect(upstream.vm not in self.leaving, "leaving, but got work")
+        self._require(
+            upstream.vm not in self.leaving, "a leaving upstream got a request"
+        )
         data = body if isinstance(body, bytes) else b"".join(body)
-        seen = f"{path} {headers} {data!r}"
-        is_seen = any(secret in seen for secret in self.secrets)
-        self._expect(not is_seen, "an upstream saw a key")
+        sent = f"{path} {headers} {data!r}"
+        has_secret = any(secret in sent for secret in self.secrets)
+        self._require(not has_secret, "an upstream received an API key")
         text = json.loads(data)["prompt"]
         fault = self.faults.pop() if self.faults else ""
         if fault == "unreachable":
@@ -114,9 +119,9 @@
             return _failed("crashed", "unknown")
         self.prompts.append(text)
         self.attempts.add(headers.get("x-attempt", ""))
-        meanwhile, self.meanwhile = self.meanwhile, None
-        if meanwhile is not None:
-            meanwhile()
+        action, self.in_flight_action = self.in_flight_action, None
+        if action is not None:
+            action()
         if answer.is_cancelled:
             return _failed("cancelled", "unknown")
         if fault == "no_answer" or self.fault(text):
--- a/tests/support/mixedvm.py
+++ b/tests/support/mixedvm.py
@@ -1,8 +1,8 @@
-"""A VM with all services of the path, over fakes and moved by hand.
+"""A VM with all services of the request path, without threads.
 
-Real are configuration, limits, router, dispatch, intents, the callers'
-server without its socket, and batch work; the platform's key-value service,
-its list of VMs, the net between VMs and the upstreams are fakes.
+The configuration, limits, router, dispatch, intents, batch services and the
+callers' server (without its socket) are real. The platform's key-value
+service, its list of VMs, the network between VMs and the upstreams are fakes.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,11 +35,15 @@
 from support import mixedupstreams
 from support import platformfakes
 
-_TASKS = ("crash-notice", "yield")
+# The names of the threads whose target returns soon.
+_SHORT_TASKS = ("crash-notice", "yield")
 
 
 class InlineThread:
-    """Runs a short task at once; loops get their turns from the fleet."""
+    """Runs a short task at once, and other targets not at all.
+
+    The fleet calls the work of the threads that loop.
+    """
 
     def __init__(
         self,
@@ -53,7 +57,7 @@
         self._args = args
 
     def start(self) -> None:
-        if self._name in _TASKS:
+        if self._name in _SHORT_TASKS:
             self._target(*self._args)
 
     def join(self, timeout_s: float = 0.0) -> None: ...
@@ -62,35 +66,39 @@
         return False
 
 
-def patch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leaves neither threads nor chance; keeps pages of limits few."""
-    chance = random.Random(0)
+def make_deterministic(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Replaces threads and random tokens, so that each run is the same.
+
+    All limits are on one page, and their parts rebalance every 2 s.
+    """
+    rng = random.Random(0)
     monkeypatch.setattr(threading, "Thread", InlineThread)
     monkeypatch.setattr(
-        secrets, "token_hex", lambda size: chance.randbytes(size).hex()
+        secrets, "token_hex", lambda size: rng.randbytes(size).hex()
     )
     monkeypatch.setattr(shares, "PAGES", 1)
     monkeypatch.setattr(rebalance, "REBALANCE_S", 2.0)
 
 
 class KeyValue(batchfakes.FakeKeyValue):
-    """The platform's service, which can also be watched.
+    """The platform's key-value service, with `watch`.
 
     Attributes:
-        meanwhile: Runs once while the next intent or page is on its way.
+        in_flight_action: Runs once, before the next write of an intent or a
+            configuration page takes effect.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.meanwhile: Callable[[], None] | None = None
+        self.in_flight_action: Callable[[], None] | None = None
 
     def put(
         self, key: str, value: bytes, expected_revision: int
     ) -> result.Result[int, services.KeyValueError]:
         if key.startswith((intents.PREFIX, pages.PREFIX)):
-            meanwhile, self.meanwhile = self.meanwhile, None
-            if meanwhile is not None:
-                meanwhile()
+            action, self.in_flight_action = self.in_flight_action, None
+            if action is not None:
+                action()
         return super().put(key, value, expected_revision)
 
     def watch(
@@ -105,15 +113,20 @@
 
 
 class Net(limitfakes.Net):
-    """The net; a paused VM is silent."""
+    """The network between the VMs."""
 
     @property
     def silent(self) -> set[str]:
+        """The paused VMs, under the name that `BatchMachine` uses."""
         return self.paused
 
 
 class Members(limitfakes.ListedMembership):
-    """The platform's list, and the VMs of upstreams that leave."""
+    """The platform's list of VMs.
+
+    Attributes:
+        leaving: The VMs of upstreams that are leaving.
+    """
 
     leaving: set[str]
 
@@ -121,8 +134,8 @@
         return vm in self.leaving
 
 
-class Shared(Protocol):
-    """What the VMs of a fleet share."""
+class SharedState(Protocol):
+    """The state that the VMs of a fleet share; see `mixedfleet.Fleet`."""
 
     world: limitfakes.World
     keyvalue: KeyValue
@@ -132,20 +145,22 @@
     listed: dict[str, records.Vm]
     buckets: dict[str, limitoracle.Bucket]
 
-    def acting(self, vm: "MixedVm") -> contextlib.AbstractContextManager[None]:
-        """Notes whose request may be at an upstream."""
+    def activate(
+        self, vm: "MixedVm"
+    ) -> contextlib.AbstractContextManager[None]:
+        """Marks a VM as active while it may wait for an upstream."""
 
     def secrets_of(self, customer: str) -> list[str]:
-        """Returns a customer's keys, the newest last."""
+        """Returns a customer's API keys, the newest last."""
 
-    def allow(self) -> None:
-        """Tells the buckets which rows are in force somewhere."""
+    def update_buckets(self) -> None:
+        """Updates the buckets with the rows that are stored or in force."""
 
 
 class CountedLimits:
-    """The real limits; what they admit counts in the oracle."""
+    """The real limits; each admitted request is checked by the oracle."""
 
-    def __init__(self, fleet: "Shared", real: limits.EscrowLimits) -> None:
+    def __init__(self, fleet: "SharedState", real: limits.EscrowLimits) -> None:
         self._fleet = fleet
         self.is_ready = real.is_ready
         self._take = real.take
@@ -161,10 +176,10 @@
 
 
 class MixedVm(batchfakes.BatchVm):
-    """One VM of the fleet."""
+    """One VM of the fleet, in one of its processes."""
 
     def __init__(
-        self, fleet: "Shared", row: records.Vm, run: str, folder: str
+        self, fleet: "SharedState", row: records.Vm, run: str, folder: str
     ) -> None:
         self.name = row.vm
         self.row = row
@@ -181,10 +196,10 @@
         self.rest = batchfakes.FakeRest()
         self.rest.events = fleet.events
         pool = platformfakes.InlineExecutor()
-        chance = random.Random(run)
-        self.config = config.ConfigService(kernel, values, clock, chance, pool)
+        rng = random.Random(run)
+        self.config = config.ConfigService(kernel, values, clock, rng, pool)
         self.limits = limits.EscrowLimits(kernel, values, clock)
-        self.counted = CountedLimits(fleet, self.limits)
+        self.counted_limits = CountedLimits(fleet, self.limits)
         self.router = router.UpstreamRouter(kernel, values, clock)
         self.intents = intents.Intents(kernel, values)
         self.callers = callers.CallersServer(kernel, values)
@@ -193,7 +208,7 @@
             services.MEMBERSHIP: self.membership,
             services.PEERS: limitfakes.NetPeers(fleet.net, row.vm),
             services.CONFIG: self.config,
-            services.LIMITS: self.counted,
+            services.LIMITS: self.counted_limits,
             services.ROUTER: self.router,
             services.UPSTREAMS: fleet.upstreams,
             services.USAGE: self.rest,
@@ -204,23 +219,23 @@
         for name, service in found.items():
             kernel.register(name, service)
         self.config.attach()
-        self.config.on_change(fleet.allow)
+        self.config.on_change(fleet.update_buckets)
         self.limits.attach()
         for started in (self.router, self.intents, self.callers):
             started.start()
         self.add_batch(kernel)
 
     def close(self) -> None:
-        """Gives back the descriptors that a process's end gives back."""
+        """Closes the file descriptors that the end of a process would close."""
         os.close(self.callers._departures._wake)
         self.callers._departures._epoll.close()
 
-    def withdrawn(self) -> set[str]:
-        """Returns the hashes of the keys that it knows as withdrawn."""
+    def withdrawn_hashes(self) -> set[str]:
+        """Returns the hashes of the keys whose withdrawal is in force here."""
         rows = self.config.customer_keys()
         return {row.key_hash for row in rows if row.withdrawn}
 
-    def open(
+    def send(
         self,
         secret: str,
         method: str,
@@ -228,7 +243,7 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> httpd.Response:
-        """Sends one request with a key; the answer's body is still to come."""
+        """Sends a request with an API key; leaves the response body unread."""
         path, _, query = path.partition("?")
         named = {"authorization": f"Bearer {secret}", **(headers or {})}
         if not named.get("idempotency-key"):
@@ -236,7 +251,7 @@
         request = httpd.Request(
             method, path, query, named, io.BytesIO(body), len(body), path
         )
-        with self._fleet.acting(self):
+        with self._fleet.activate(self):
             return self.callers._serve(request)
 
     def request(
@@ -247,25 +262,32 @@
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
     ) -> batchfakes.Reply:
+        """See `batchfakes.BatchVm`; uses the customer's newest key."""
         secret = self._fleet.secrets_of(customer)[-1]
-        response = self.open(secret, method, path, body, headers)
+        response = self.send(secret, method, path, body, headers)
         assert response.status != 500, "a VM failed to serve"
         reply = batchfakes.Reply(response)
         httpd.close(response.body)
         return reply
 
     def run_items(self, most: int = 10**9) -> int:
-        """Runs items while one would not have to wait for a slot."""
+        """Runs up to `most` items while a batch slot is free.
+
+        Without a free slot, an item would wait for one in the test's thread.
+
+        Returns:
+            How many items ran.
+        """
         count = 0
         while count < most and self.router.batch_slots(mixedupstreams.MODEL):
-            with self._fleet.acting(self):
+            with self._fleet.activate(self):
                 if not super().run_items(1):
                     break
             count += 1
         return count
 
     def tend(self) -> None:
-        """Does what its threads would do within a second."""
+        """Does what the threads would do in a second, except batch items."""
         if not self.config.feed.has_read_all:
             self.config.feed.read_all()
         elif self.config.is_watcher():
@@ -281,7 +303,7 @@
         self.coordinator.tick()
 
     def work(self) -> None:
-        """Lets its worker ask, run and seal."""
+        """Requests and runs batch items, and seals their results."""
         self.worker.ask()
         self.run_items()
         self.seal()
