--- a/packages/daemon/bulrushdeald/defaults.py
+++ b/packages/daemon/bulrushdeald/defaults.py
@@ -8,7 +8,7 @@
 TABLE = (
     settings.Setting("vm", "text", None, "This VM's name."),
     settings.Setting(
-        "failure_domain", "text", None, "The failure domain it stands in."
+        "failure_domain", "text", None, "The failure domain that this VM is in."
     ),
     settings.Setting(
         "callers_address", "address", None, "Where callers connect."
@@ -20,7 +20,8 @@
         "peers_address",
         "address",
         None,
-        "Where other entry VMs connect; one process holds it exclusively.",
+        "Where other entry VMs connect; only one process at a time can hold"
+        " the address.",
     ),
     settings.Setting(
         "platform_address",
@@ -35,16 +36,20 @@
         "data_folder",
         "text",
         "",
-        "Folder for bulk data; empty if this VM keeps none.",
+        "Folder for bulk data; empty if this VM stores none.",
     ),
     settings.Setting(
         "bulk_address",
         "address",
         "",
-        "Where callers up- and download files; the callers' address if empty.",
+        "Where callers upload and download files; the callers' address if"
+        " empty.",
     ),
     settings.Setting(
-        "statsd_address", "address", "", "Where metrics go; empty for nowhere."
+        "statsd_address",
+        "address",
+        "",
+        "The statsd server that metrics are sent to; empty to send none.",
     ),
     settings.Setting(
         "log_level",
@@ -81,8 +86,8 @@
         "vm_list_lag_s",
         "number",
         10.0,
-        "How old the platform's list of VMs may be; a VM missing from it"
-        " for so long is taken for gone.",
+        "How outdated the platform's list of VMs may be; a VM that is missing"
+        " from it for this long counts as gone.",
         low=0,
         high=3600,
     ),
@@ -90,8 +95,9 @@
         "config_max_age_s",
         "number",
         0.0,
-        "A VM cut off from the platform and from all peers that hear of it"
-        " refuses all keys after so long; 0 for never.",
+        "The age of its configuration above which this VM refuses all API keys;"
+        " the age grows while the VM is cut off from the platform and from all"
+        " peers that receive changes; 0 for no limit.",
         low=0,
         high=1_000_000,
     ),
@@ -99,8 +105,8 @@
         "peer_seeds",
         "addresses",
         "",
-        "Peers' addresses to ask for the list of VMs when the platform does"
-        " not answer at the start.",
+        "Addresses of peers that are asked for the list of VMs if the platform"
+        " does not answer at startup.",
     ),
     settings.Setting(
         "max_body_bytes",
@@ -114,7 +120,7 @@
         "online_threads",
         "integer",
         200,
-        "Connections of online callers served at once.",
+        "The number of online callers' connections that are served at once.",
         low=2,
         high=5000,
     ),
@@ -122,8 +128,8 @@
         "batch_reserve_fraction",
         "number",
         0.0,
-        "Part of an upstream's slots that batch work leaves free; for engines"
-        " that queue beyond their slots.",
+        "Fraction of an upstream's slots that batch work leaves free; meant for"
+        " engines that queue requests beyond their slots.",
         low=0,
         high=1,
     ),
@@ -131,29 +137,31 @@
         "batch_yields",
         "choice",
         "yes",
-        "Whether batch items yield to online requests; `no` to compare.",
+        "Whether batch items yield to online requests; `no` is a baseline for"
+        " measurements.",
         choices=("yes", "no"),
     ),
     settings.Setting(
         "upstream_policy",
         "choice",
         "affinity",
-        "How an upstream is chosen among those with room.",
+        "How an upstream is chosen among those with room for a request.",
         choices=("affinity", "least_load", "random"),
     ),
     settings.Setting(
         "queue_discipline",
         "choice",
         "fair",
-        "How waiting requests of several customers take turns; `fifo` to"
-        " compare.",
+        "The order in which waiting requests of several customers are served;"
+        " `fifo` is a baseline for measurements.",
         choices=("fair", "fifo"),
     ),
     settings.Setting(
         "unready_s",
         "number",
         1.0,
-        "How long a stopping VM still accepts, so the balancer can notice.",
+        "How long a stopping VM still accepts requests while its health check"
+        " fails, so that the load balancer notices.",
         low=0,
         high=600,
     ),
@@ -193,7 +201,7 @@
         "batch_threads",
         "integer",
         64,
-        "Batch items that this VM runs at once; 0 runs none.",
+        "The number of batch items that this VM runs at once; 0 runs none.",
         low=0,
         high=2000,
     ),
@@ -201,7 +209,8 @@
         "batch_chunks",
         "integer",
         4,
-        "Chunks of batch items that this VM claims ahead.",
+        "The largest number of chunks with unfinished batch items that this VM"
+        " holds at once.",
         low=1,
         high=100,
     ),
@@ -209,7 +218,7 @@
         "batch_item_timeout_s",
         "number",
         600.0,
-        "The longest silence of an upstream that runs a batch item.",
+        "How long an upstream that runs a batch item may send nothing.",
         low=1,
         high=86400,
     ),
@@ -225,7 +234,8 @@
         "usage_flush_s",
         "number",
         5.0,
-        "How often usage is handed over; a lost VM loses as much.",
+        "The interval at which usage is sent to be stored; a VM that is lost"
+        " loses the usage of about one interval.",
         low=0.1,
         high=300,
     ),
@@ -233,7 +243,8 @@
         "usage_bucket_s",
         "integer",
         3600,
-        "How finely usage is kept by time; should divide an hour.",
+        "Length of the time buckets in which usage is counted; should divide an"
+        " hour evenly.",
         low=60,
         high=3600,
     ),
@@ -241,9 +252,9 @@
         "order_timeout_s",
         "number",
         300.0,
-        "How long an engine may take to carry an order out; an orderer of an"
-        " engine that does not check fencing numbers waits three times as"
-        " long after another's.",
+        "How long an engine may take to execute an order; after an order of"
+        " unknown outcome, an engine that does not check fencing numbers is"
+        " sent no order for three times as long.",
         low=0.1,
         high=7200,
     ),
@@ -251,8 +262,8 @@
         "order_settle_s",
         "number",
         12.0,
-        "How long an engine's changed row takes to be in force on all VMs;"
-        " orders that disturb a model wait so long.",
+        "How long an engine's changed row takes to be in force on all VMs; an"
+        " order that interrupts a served model waits this long.",
         low=0,
         high=600,
     ),
@@ -260,7 +271,7 @@
         "order_drain_s",
         "number",
         120.0,
-        "How long requests may run on before their model is unloaded.",
+        "How long requests may keep running before their model is unloaded.",
         low=0,
         high=86400,
     ),
@@ -268,7 +279,8 @@
         "order_deadline_s",
         "number",
         3600.0,
-        "How long after its acceptance an order may be sent; it fails then.",
+        "How long after its acceptance an order may still be sent; after that"
+        " it fails.",
         low=1,
         high=604800,
     ),
@@ -276,7 +288,7 @@
         "order_threads",
         "integer",
         8,
-        "Orders that this VM carries out at once.",
+        "The number of engine orders that this VM executes at once.",
         low=1,
         high=500,
     ),
@@ -284,8 +296,8 @@
         "weight_fetches",
         "integer",
         8,
-        "Engines that may fetch weights at once, over all VMs; set it alike"
-        " on all.",
+        "The number of engines that may fetch weights at once, over all VMs;"
+        " set the same value on all VMs.",
         low=1,
         high=10_000,
     ),
--- a/tests/daemon/test_operatordocs.py
+++ b/tests/daemon/test_operatordocs.py
@@ -17,15 +17,16 @@
     *(ROOT / "packages/core/bulrushdeal").glob("*.py"),
 ]
 ALARM_LEVELS = ("error", "exception")
-_STATUS_AND_CODE = 2
-# Codes that no caller sees: the caller has left, or a batch item is repeated.
+# The status and the code are the first two arguments of a refusal.
+_MIN_REFUSAL_ARGUMENTS = 2
+# Codes that no caller sees: the caller has left, or a batch item is retried.
 INTERNAL_CODES = {"caller_left", "yielded", "cancelled", "upstream_error"}
 
 
 def test_settings_page_has_the_table_that_the_daemon_prints() -> None:
     page = (PAGES / "settings.md").read_text()
     assert settings.describe(defaults.TABLE) in page, (
-        "run `bulrushdeald settings` and put its table into the page"
+        "run `bulrushdeald settings` and copy its table into the page"
     )
 
 
@@ -39,12 +40,12 @@
 def test_each_alarm_on_the_page_is_still_in_the_code() -> None:
     page = (PAGES / "alarms.md").read_text()
     listed = re.findall(r"^\| `(\w+: .*?)` \|", page, re.MULTILINE)
-    known = {line for path in SOURCES for line in _alarms(path)}
-    assert set(listed) == known
+    logged = {line for path in SOURCES for line in _alarms(path)}
+    assert set(listed) == logged
 
 
 def test_each_code_that_a_caller_may_see_is_explained() -> None:
-    # A refusal was added to the code alone, and no page explained its code.
+    # A refusal had been added without an explanation of its code on a page.
     explained = "".join(
         (PAGES / name).read_text() for name in ("callers.md", "batch.md")
     )
@@ -57,9 +58,12 @@
 
 
 def _codes(path: pathlib.Path) -> Iterator[str]:
-    """Yields the literal codes of refusals in a module."""
+    """Yields each refusal code that is written as a literal in a module."""
     for node in ast.walk(ast.parse(path.read_text())):
-        if not isinstance(node, ast.Call) or len(node.args) < _STATUS_AND_CODE:
+        if (
+            not isinstance(node, ast.Call)
+            or len(node.args) < _MIN_REFUSAL_ARGUMENTS
+        ):
             continue
         name = getattr(node.func, "attr", getattr(node.func, "id", ""))
         code = getattr(node.args[1], "value", None)
@@ -68,6 +72,7 @@
 
 
 def _alarms(path: pathlib.Path) -> Iterator[str]:
+    """Yields `log name: message` for each alarm that a module logs."""
     tree = ast.parse(path.read_text())
     calls = [node for node in ast.walk(tree) if isinstance(node, ast.Call)]
     functions = [call.func for call in calls]
