--- a/packages/daemon/bulrushdeald/bodies.py
+++ b/packages/daemon/bulrushdeald/bodies.py
@@ -74,7 +74,7 @@
     tail = b""
     for chunk in chunks:
         if secret in tail + chunk:
-            raise BodyError("The body holds the key.")
+            raise BodyError("The body contains the API key.")
         tail = (tail + chunk)[-len(secret) + 1 :] if len(secret) > 1 else b""
         yield chunk
 
--- a/packages/daemon/bulrushdeald/configroutes.py
+++ b/packages/daemon/bulrushdeald/configroutes.py
@@ -130,7 +130,7 @@
         """Creates a customer's key; only this response contains the key."""
         name = _name_in_path(request, _CUSTOMERS)
         if not name.endswith("/keys"):
-            return replies.error(404, "not_found", "Nothing is here.")
+            return replies.error(404, "not_found", "There is no such route.")
         label = replies.body_object(request).get("label", "")
         is_text = isinstance(label, str) and label.isprintable()
         if not is_text or len(label) > _MAX_LABEL_CHARACTERS:
--- a/packages/daemon/bulrushdeald/splitter.py
+++ b/packages/daemon/bulrushdeald/splitter.py
@@ -153,7 +153,7 @@
         ).digest()
         if id_hash in self._id_hashes:
             raise self._line_error(
-                "The custom_id stands twice.", self._line_number
+                "The custom_id is used twice.", self._line_number
             )
         self._id_hashes.add(id_hash)
 
--- a/tests/daemon/test_batchfailures.py
+++ b/tests/daemon/test_batchfailures.py
@@ -243,7 +243,7 @@
     good = json.loads(batchfakes.lines({"a": "x"}))
     cases = (
         (b"{", "Line 2: not JSON"),
-        (json.dumps(good).encode(), "Line 2: The custom_id stands twice"),
+        (json.dumps(good).encode(), "Line 2: The custom_id is used twice"),
         (
             json.dumps({**good, "custom_id": "b", "method": "GET"}).encode(),
             "Line 2: method must be POST",
