--- a/packages/bench/bench/replay/policies.py
+++ b/packages/bench/bench/replay/policies.py
@@ -6,7 +6,7 @@
 
 from gateway import records
 from gateway.decisions import slotledger
-from gateway.decisions import streamretries
+from gateway.decisions import streamtimeouts
 
 # Of a target.
 _EARLY_SHARE = 0.6
@@ -57,7 +57,7 @@
         return ""
 
 
-class _EarlyRetries(streamretries.StreamRetries):
+class _EarlyRetries(streamtimeouts.StreamTimeouts):
     """Retries a stream early whatever is usual, without a budget."""
 
     def note_given_up(self) -> None:
@@ -69,11 +69,11 @@
         """See `Retries`."""
         del route
         if not is_free:
-            return streamretries.patient_s(target_s)
+            return streamtimeouts.patient_s(target_s)
         return target_s * _EARLY_SHARE
 
 
-class _NoEarlyRetries(streamretries.StreamRetries):
+class _NoEarlyRetries(streamtimeouts.StreamTimeouts):
     """Never gives up a stream early."""
 
     def first_event_s(
@@ -81,10 +81,10 @@
     ) -> float:
         """See `Retries`."""
         del route, is_free
-        return streamretries.patient_s(target_s)
+        return streamtimeouts.patient_s(target_s)
 
 
-_PRODUCT = Policy(slotledger.Ledger, streamretries.StreamRetries)
+_PRODUCT = Policy(slotledger.Ledger, streamtimeouts.StreamTimeouts)
 POLICIES = {
     "product": _PRODUCT,
     "no-preemption": _PRODUCT._replace(ledger=_WithoutPreemption),
--- a/packages/gateway/gateway/assembly.py
+++ b/packages/gateway/gateway/assembly.py
@@ -17,22 +17,22 @@
 from gateway import dialect as dialect_lib
 from gateway import forwarding
 from gateway import front
-from gateway import jobbook
 from gateway import jobdirectory
 from gateway import joblisting
 from gateway import jobs
+from gateway import jobstore
 from gateway import members
 from gateway import metrics
 from gateway import names
 from gateway import pings
 from gateway import placement
 from gateway import rates
-from gateway import reading
 from gateway import records
-from gateway import retirements
 from gateway import runner
 from gateway import storepath
+from gateway import storereaders
 from gateway import upstreamlist
+from gateway import vmretirement
 
 _events = eventlog.Events("process")
 # The part of the grace time that is left for the process to exit after its
@@ -63,15 +63,15 @@
     add(services.PEERS, peers.WebsocketPeers(kernel, settings, _PEER_IDLE_S))
     add("store path", store_path)
     add(names.PINGS, pings.Pings(kernel))
-    add(names.JOB_BOOK, jobbook.JobBook(kernel))
+    add(names.JOB_STORE, jobstore.JobStore(kernel))
     add(names.JOB_LISTING, joblisting.JobListing(kernel))
     add(names.JOB_DIRECTORY, jobdirectory.JobDirectory(kernel))
-    add("reading", reading.Reading(kernel))
+    add("reading", storereaders.Reading(kernel))
     add(names.RATES, rates.Rates(kernel, settings))
     add(names.PLACEMENT, placement.Placement(kernel, settings))
     add(services.UPSTREAMS, upstreams.HttpUpstreams(kernel, settings))
     add(names.JOBS, jobs.Jobs(kernel, settings))
-    add("retirements", retirements.Retirements(kernel))
+    add("retirements", vmretirement.Retirements(kernel))
     add(names.FORWARDER, forwarding.Forwarder(kernel))
     add(names.FRONT, front.Front(kernel, settings))
     # Registered last and therefore stopped first, so that other VMs continue
--- a/packages/gateway/gateway/backlogs.py
+++ b/packages/gateway/gateway/backlogs.py
@@ -19,10 +19,10 @@
 from bulrushdeal import codec
 from bulrushdeal import eventlog
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import joblisting
 from gateway import jobmessages
 from gateway import jobrecords
+from gateway import jobstore
 from gateway import paging
 from gateway import records
 from gateway.decisions import backlog
@@ -75,7 +75,7 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobbook.JobBook,
+        book: jobstore.JobStore,
         listing: joblisting.JobListing,
     ) -> None:
         self._store = store
@@ -94,7 +94,7 @@
             demand: The job's tokens and the bound; a bound of 0 means none.
 
         Returns:
-            As `JobBook.commit`; a conflict means that the job already exists.
+            As `JobStore.commit`; a conflict means that the job already exists.
             The error `no_room` means that the job does not fit.
         """
         key = self._book.keys.backlog(change.meta.backlog)
@@ -157,7 +157,7 @@
             self._store, self._book.keys.open, _READ_TIMEOUT_S
         )
         if listed.is_err():
-            return jobbook.unavailable(listed.unwrap_err())
+            return jobstore.unavailable(listed.unwrap_err())
         rows = [
             row
             for row in map(_unpack_open_job, listed.unwrap().entries)
--- a/packages/gateway/gateway/decisions/slotledger.py
+++ b/packages/gateway/gateway/decisions/slotledger.py
@@ -12,7 +12,7 @@
 from gateway import records
 from gateway.decisions import batchorder
 from gateway.decisions import outliers
-from gateway.decisions import returns
+from gateway.decisions import retryschedule
 
 # Load that an engine reports beyond the known runs counts with a weight that
 # falls to zero over this time. Runs of a VM that lost power continue on the
@@ -163,7 +163,7 @@
         self._outliers = outliers.OutlierDetector()
         self._run_s = _INITIAL_RUN_S
         self._waiting = batchorder.WaitingItems()
-        self._retry_schedule = returns.RetrySchedule()
+        self._retry_schedule = retryschedule.RetrySchedule()
 
     def set_engines(self, engines: Iterable[records.Upstream]) -> None:
         """Replaces the set of engines that may get requests."""
--- a/packages/gateway/gateway/decisions/streamretries.py
+++ b/packages/gateway/gateway/decisions/streamtimeouts.py
@@ -65,7 +65,7 @@
         return self.mean_s + _DEVIATIONS * self.deviation_s
 
 
-class StreamRetries:
+class StreamTimeouts:
     """The allowed silence of streams and the budget for early retries.
 
     Any thread may call the methods. One of two concurrent updates may be lost,
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -12,16 +12,16 @@
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeald import calls as caller_calls
 from bulrushdeald import services
-from gateway import calls
 from gateway import eventstream
 from gateway import heldslots
 from gateway import metrics
 from gateway import names
+from gateway import opencalls
 from gateway import placement
 from gateway import records
-from gateway import replies
-from gateway import sending
-from gateway.decisions import streamretries
+from gateway import refusals
+from gateway import upstreamsender
+from gateway.decisions import streamtimeouts
 
 _events = eventlog.Events("requests")
 
@@ -49,7 +49,7 @@
             `None` to start from the beginning.
     """
 
-    outgoing: sending.Outgoing
+    outgoing: upstreamsender.Outgoing
     route: records.Route
     service: str
     last_event: int | None
@@ -60,7 +60,7 @@
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
-        self._retries = streamretries.StreamRetries()
+        self._retries = streamtimeouts.StreamTimeouts()
 
     def start(self) -> None:
         """Looks up the services that the forwarder uses."""
@@ -68,7 +68,7 @@
             names.PLACEMENT, placement.Placement
         )
         self._metrics = self._kernel.find(names.METRICS, metrics.Metrics)
-        self._sender = sending.Sender(self._kernel)
+        self._sender = upstreamsender.Sender(self._kernel)
 
     def stop(self, grace_s: float) -> None:
         """See `kernel.Service`."""
@@ -79,7 +79,7 @@
         return {}
 
     def forward(
-        self, request: OnlineRequest, call: calls.Call
+        self, request: OnlineRequest, call: opencalls.Call
     ) -> httpd.Response:
         """Forwards a request and returns the answer.
 
@@ -102,11 +102,11 @@
     def __init__(
         self,
         placer: placement.Placement,
-        sender: sending.Sender,
+        sender: upstreamsender.Sender,
         meter: metrics.Metrics,
-        retries: streamretries.StreamRetries,
+        retries: streamtimeouts.StreamTimeouts,
         request: OnlineRequest,
-        call: calls.Call,
+        call: opencalls.Call,
     ) -> None:
         self._placement = placer
         self._sender = sender
@@ -136,7 +136,7 @@
             if response is not None:
                 return response
 
-    def _open_answer(self) -> sending.OpenAnswer | None:
+    def _open_answer(self) -> upstreamsender.OpenAnswer | None:
         """Sends the request until an answer's head is accepted.
 
         A request that has not run is refused if there is no slot. One that has
@@ -202,7 +202,7 @@
             return remaining_s
         target_s = self._route.target_latency_s
         if self._route.kind != "streaming":
-            return min(remaining_s, streamretries.patient_s(target_s))
+            return min(remaining_s, streamtimeouts.patient_s(target_s))
         first_s = self._retries.first_event_s(
             self._route.name, target_s, is_free=slot.is_free
         )
@@ -213,7 +213,7 @@
         runs = self._call.runs + extra_runs
         return self._route.may_repeat and runs < self._route.max_attempts
 
-    def _record_failure(self, failure: sending.Failure) -> None:
+    def _record_failure(self, failure: upstreamsender.Failure) -> None:
         slot = self._slot
         assert slot is not None
         if failure.may_have_run:
@@ -242,7 +242,7 @@
         if slot is not None:
             slot.release()
 
-    def _should_repeat(self, opened: sending.OpenAnswer) -> bool:
+    def _should_repeat(self, opened: upstreamsender.OpenAnswer) -> bool:
         """Returns whether to repeat the request after a 5xx answer."""
         if opened.answer.status < _FIRST_SERVER_ERROR:
             return False
@@ -250,18 +250,22 @@
             self._request.service
         )
 
-    def _relay(self, opened: sending.OpenAnswer) -> httpd.Response | None:
+    def _relay(
+        self, opened: upstreamsender.OpenAnswer
+    ) -> httpd.Response | None:
         if self._is_stream(opened):
             return self._relay_stream(opened)
         return self._relay_whole(opened)
 
-    def _is_stream(self, opened: sending.OpenAnswer) -> bool:
+    def _is_stream(self, opened: upstreamsender.OpenAnswer) -> bool:
         return (
             self._route.kind == "streaming"
             and opened.answer.status == http.HTTPStatus.OK
         )
 
-    def _relay_whole(self, opened: sending.OpenAnswer) -> httpd.Response | None:
+    def _relay_whole(
+        self, opened: upstreamsender.OpenAnswer
+    ) -> httpd.Response | None:
         """Reads the answer and returns it, or a refusal.
 
         An answer above `_MAX_BUFFERED_BYTES` is returned before it is read
@@ -318,7 +322,7 @@
         return None if self._may_send() else self._refuse()
 
     def _relay_stream(
-        self, opened: sending.OpenAnswer
+        self, opened: upstreamsender.OpenAnswer
     ) -> httpd.Response | None:
         """Relays a stream's events as they arrive.
 
@@ -347,13 +351,15 @@
             took_s = time.monotonic() - self._sent_s
             self._retries.note_first_event(self._route.name, took_s)
 
-    def _stream_events(self, opened: sending.OpenAnswer) -> Iterator[bytes]:
+    def _stream_events(
+        self, opened: upstreamsender.OpenAnswer
+    ) -> Iterator[bytes]:
         """Yields complete events from each upstream that the stream runs on.
 
         Raises:
             BrokenAnswerError: The stream broke and cannot be resumed.
         """
-        current: sending.OpenAnswer | None = opened
+        current: upstreamsender.OpenAnswer | None = opened
         while current is not None:
             splitter = eventstream.Splitter()
             error: services.UpstreamError | None = None
@@ -376,7 +382,7 @@
             current = self._resume(error)
         raise caller_calls.BrokenAnswerError("the stream broke off")
 
-    def _limit_gap(self, opened: sending.OpenAnswer) -> None:
+    def _limit_gap(self, opened: upstreamsender.OpenAnswer) -> None:
         """Limits pauses in a stream that has begun, by the route's gap target.
 
         If the upstream is cut off or freezes in the middle of a stream, the
@@ -402,7 +408,7 @@
 
     def _resume(
         self, error: services.UpstreamError | None
-    ) -> sending.OpenAnswer | None:
+    ) -> upstreamsender.OpenAnswer | None:
         """Resumes a broken stream at another upstream, if that is allowed.
 
         Args:
@@ -443,25 +449,25 @@
             tried=self._tried_instances,
             occupancy=self._occupancy(),
         )
-        return replies.refusal(refusal)
+        return refusals.refusal(refusal)
 
     def _occupancy(self) -> Mapping[str, float]:
         """Returns the engines' occupancy as their leader reported it."""
         occupancy = None if self._no_slot is None else self._no_slot.occupancy
         return {} if occupancy is None else occupancy._asdict()
 
-    def _refusal(self) -> replies.Refusal:
+    def _refusal(self) -> refusals.Refusal:
         call = self._call
         is_late = call.reason == "timeout" or call.remaining_s() <= 0
         if call.runs and is_late:
-            return replies.Refusal(504, "no answer in time")
+            return refusals.Refusal(504, "no answer in time")
         if call.runs:
-            return replies.Refusal(502, "the upstream's answer broke off")
+            return refusals.Refusal(502, "the upstream's answer broke off")
         if self._no_slot is not None:
-            return replies.Refusal(
+            return refusals.Refusal(
                 503, self._no_slot.why, self._no_slot.retry_after_s
             )
-        return replies.Refusal(503, "no upstream took it", _BUSY_RETRY_S)
+        return refusals.Refusal(503, "no upstream took it", _BUSY_RETRY_S)
 
 
 def _with_length(
--- a/packages/gateway/gateway/front.py
+++ b/packages/gateway/gateway/front.py
@@ -13,7 +13,6 @@
 from bulrushdeald import bodies
 from bulrushdeald import calls as caller_calls
 from bulrushdeald import departures
-from gateway import calls
 from gateway import configuration
 from gateway import deadlines
 from gateway import dialect as dialect_lib
@@ -21,12 +20,13 @@
 from gateway import jobfront
 from gateway import metrics
 from gateway import names
+from gateway import opencalls
 from gateway import placement
 from gateway import rates
 from gateway import records
-from gateway import replies
-from gateway import sending
+from gateway import refusals
 from gateway import upstreamlist
+from gateway import upstreamsender
 
 _log = logs.Log("front")
 _events = eventlog.Events("front")
@@ -57,7 +57,7 @@
     ) -> None:
         self._kernel = kernel
         self._settings = settings
-        self._open_calls = calls.OpenCalls()
+        self._open_calls = opencalls.OpenCalls()
         self._departures = departures.Departures()
         self._deadlines = deadlines.Deadlines()
         self._state: Literal["serving", "stopping"] = "serving"
@@ -83,7 +83,7 @@
             self._settings.callers_address,
             self._serve,
             _CALLER_THREADS,
-            replies.refusal(_BUSY),
+            refusals.refusal(_BUSY),
         )
         self._feed.on_change(self._apply_connection_limits)
         self._apply_connection_limits()
@@ -165,7 +165,7 @@
 
     def _serve_ready(self, request: httpd.Request) -> httpd.Response:
         if request.path != _READY_PATH:
-            return replies.refusal(replies.Refusal(404, "no such path"))
+            return refusals.refusal(refusals.Refusal(404, "no such path"))
         status = 200 if self.is_ready() else 503
         return httpd.json_response(status, {"state": self._state})
 
@@ -174,7 +174,7 @@
             response = self._respond(request)
         except Exception:  # noqa: BLE001 - the caller gets a 500.
             _log.exception("Unhandled exception while serving a request.")
-            response = replies.refusal(_INTERNAL_ERROR)
+            response = refusals.refusal(_INTERNAL_ERROR)
         self._metrics.answered(response.status)
         if self._state == "serving" and not self._placement.is_cut_off():
             return response
@@ -186,14 +186,14 @@
     def _respond(self, request: httpd.Request) -> httpd.Response:
         in_force = self._feed.current()
         if in_force is None:
-            return replies.refusal(_NO_CONFIGURATION)
+            return refusals.refusal(_NO_CONFIGURATION)
         try:
             head = self._dialect.caller_head(request.headers)
             job_call = self._dialect.job_call(
                 request.method, request.path, request.query, request.headers
             )
         except dialect_lib.BadInputError as error:
-            return replies.refusal(replies.Refusal(400, str(error)))
+            return refusals.refusal(refusals.Refusal(400, str(error)))
         host = request.headers.get("host", "")
         if job_call is not None and in_force.has_host(host):
             return self._serve_job_call(in_force, head, job_call)
@@ -206,13 +206,13 @@
                 path=request.path,
                 version=in_force.version,
             )
-            return replies.refusal(replies.Refusal(404, "no such route"))
+            return refusals.refusal(refusals.Refusal(404, "no such route"))
         customer = self._authenticate(in_force, head, route)
-        if isinstance(customer, replies.Refusal):
+        if isinstance(customer, refusals.Refusal):
             _events.warning(
                 "unauthorized", request=head.attempt, version=in_force.version
             )
-            return replies.refusal(customer)
+            return refusals.refusal(customer)
         return self._serve_route(request, in_force, head, route, customer)
 
     def _authenticate(
@@ -220,14 +220,14 @@
         in_force: configuration.InForce,
         head: dialect_lib.CallerHead,
         route: records.Route | None,
-    ) -> records.Customer | replies.Refusal | None:
+    ) -> records.Customer | refusals.Refusal | None:
         if not in_force.has_customers or (
             route is not None and route.is_public
         ):
             return None
         customer = in_force.customer_of(head.key) if head.key else None
         if customer is None:
-            return replies.Refusal(401, "no such key")
+            return refusals.Refusal(401, "no such key")
         return customer
 
     def _serve_job_call(
@@ -237,10 +237,10 @@
         job_call: dialect_lib.JobCall,
     ) -> httpd.Response:
         customer = self._authenticate(in_force, head, None)
-        if isinstance(customer, replies.Refusal):
-            return replies.refusal(customer)
+        if isinstance(customer, refusals.Refusal):
+            return refusals.refusal(customer)
         name = "" if customer is None else customer.name
-        call = calls.Call(head.attempt, time.monotonic(), None)
+        call = opencalls.Call(head.attempt, time.monotonic(), None)
         self._open_calls.add(call)
         try:
             return self._jobs.call(job_call, name)
@@ -261,7 +261,7 @@
         if head.deadline_s is not None:
             caller_deadline_s = started_s + head.deadline_s
             due_s = min(due_s, caller_deadline_s)
-        call = calls.Call(head.attempt, due_s, caller_deadline_s)
+        call = opencalls.Call(head.attempt, due_s, caller_deadline_s)
         self._open_calls.add(call)
         try:
             response = self._read_body_and_dispatch(
@@ -279,7 +279,7 @@
         head: dialect_lib.CallerHead,
         route: records.Route,
         customer: records.Customer | None,
-        call: calls.Call,
+        call: opencalls.Call,
     ) -> httpd.Response:
         body = bodies.read_whole(
             request, in_force.configuration.bounds.max_body_bytes
@@ -287,15 +287,15 @@
         name = "" if customer is None else customer.name
         if isinstance(body, result.Err):
             refused = body.err_value
-            response = replies.refusal(
-                replies.Refusal(refused.status, refused.message)
+            response = refusals.refusal(
+                refusals.Refusal(refused.status, refused.message)
             )
         elif route.kind == "batch":
             response = self._jobs.submit(
                 head.attempt, name, route, request.path, body.ok_value
             )
         else:
-            outgoing = sending.Outgoing(
+            outgoing = upstreamsender.Outgoing(
                 head.attempt,
                 request.method,
                 request.target or request.path,
@@ -315,13 +315,13 @@
         head: dialect_lib.CallerHead,
         route: records.Route,
         customer: records.Customer | None,
-        call: calls.Call,
-        outgoing: sending.Outgoing,
+        call: opencalls.Call,
+        outgoing: upstreamsender.Outgoing,
     ) -> httpd.Response:
         if not head.attempt:
             self._open_calls.remove(call)
-            return replies.refusal(
-                replies.Refusal(400, "the request has no attempt id")
+            return refusals.refusal(
+                refusals.Refusal(400, "the request has no attempt id")
             )
         cancel_deadline = self._deadlines.add(
             call.due_s, lambda: call.end("timeout")
@@ -352,9 +352,9 @@
         self,
         route: records.Route,
         customer: records.Customer | None,
-        call: calls.Call,
+        call: opencalls.Call,
         head: dialect_lib.CallerHead,
-        outgoing: sending.Outgoing,
+        outgoing: upstreamsender.Outgoing,
     ) -> httpd.Response:
         service = route.choose_service() or route.services[0].service
         if not self._placement.has_upstreams(service):
@@ -365,7 +365,7 @@
                 why="no upstream",
                 list_age_s=round(self._upstream_list.age_s(), 3),
             )
-            return replies.refusal(_NO_UPSTREAM)
+            return refusals.refusal(_NO_UPSTREAM)
         if customer is not None:
             allowed = self._rates.take(customer)
             if isinstance(allowed, result.Err):
@@ -376,8 +376,8 @@
                     customer=customer.name,
                     retry_after_s=round(denied.retry_after_s, 3),
                 )
-                return replies.refusal(
-                    replies.Refusal(
+                return refusals.refusal(
+                    refusals.Refusal(
                         429, "over the customer's rate", denied.retry_after_s
                     )
                 )
@@ -387,7 +387,11 @@
         return self._forwarder.forward(request, call)
 
     def _record_end(
-        self, call: calls.Call, route: records.Route, customer: str, status: int
+        self,
+        call: opencalls.Call,
+        route: records.Route,
+        customer: str,
+        status: int,
     ) -> None:
         fields = {
             "request": call.attempt,
@@ -417,9 +421,9 @@
     """Does nothing; used when there is no connection to watch."""
 
 
-_BUSY = replies.Refusal(503, "this VM has no room now", 0.5)
-_INTERNAL_ERROR = replies.Refusal(500, "this VM failed to serve the request")
-_NO_CONFIGURATION = replies.Refusal(
+_BUSY = refusals.Refusal(503, "this VM has no room now", 0.5)
+_INTERNAL_ERROR = refusals.Refusal(500, "this VM failed to serve the request")
+_NO_CONFIGURATION = refusals.Refusal(
     503, "this VM has no configuration yet", _NOT_READY_RETRY_S
 )
-_NO_UPSTREAM = replies.Refusal(503, "no upstream is listed", 0.5)
+_NO_UPSTREAM = refusals.Refusal(503, "no upstream is listed", 0.5)
--- a/packages/gateway/gateway/joblisting.py
+++ b/packages/gateway/gateway/joblisting.py
@@ -7,8 +7,8 @@
 
 from bulrushdeal import kernel as kernel_lib
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import jobrecords
+from gateway import jobstore
 from gateway import names
 from gateway import paging
 
@@ -101,7 +101,7 @@
         """Looks up the services that it depends on."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
-        self._keys = find(names.JOB_BOOK, jobbook.JobBook).keys
+        self._keys = find(names.JOB_STORE, jobstore.JobStore).keys
 
     def stop(self, grace_s: float) -> None:
         """See `kernel.Service`."""
--- a/packages/gateway/gateway/jobpeers.py
+++ b/packages/gateway/gateway/jobpeers.py
@@ -6,9 +6,9 @@
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeald import services
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import jobdirectory
 from gateway import jobmessages
+from gateway import jobstore
 from gateway import members
 from gateway import names
 
@@ -23,7 +23,7 @@
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         find = kernel.find
-        self._book = find(names.JOB_BOOK, jobbook.JobBook)
+        self._book = find(names.JOB_STORE, jobstore.JobStore)
         self._directory = find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
         self._members = find(services.MEMBERSHIP, members.Members)
         self._vm = self._members.own().vm
@@ -76,7 +76,7 @@
         return read if read.is_held else None
 
     def fetch_results(
-        self, view: jobbook.View, after: int, wait_s: float
+        self, view: jobstore.View, after: int, wait_s: float
     ) -> bool:
         """Caches new results from the VM that runs the job, and may wait.
 
@@ -159,7 +159,7 @@
 
 
 def results_page(
-    view: jobbook.View, after: int
+    view: jobstore.View, after: int
 ) -> tuple[dialect_lib.ItemResult, ...]:
     """Returns the results from a position on that fit one answer.
 
--- a/packages/gateway/gateway/jobs.py
+++ b/packages/gateway/gateway/jobs.py
@@ -10,12 +10,12 @@
 from bulrushdeald import services
 from gateway import backlogs
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import joblisting
 from gateway import jobmessages
 from gateway import jobpeers
 from gateway import jobrecords
 from gateway import jobstate
+from gateway import jobstore
 from gateway import members
 from gateway import names
 from gateway import records
@@ -45,7 +45,7 @@
         """Looks up the services that it depends on."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
-        self._book = find(names.JOB_BOOK, jobbook.JobBook)
+        self._book = find(names.JOB_STORE, jobstore.JobStore)
         listing = find(names.JOB_LISTING, joblisting.JobListing)
         self._backlogs = backlogs.Backlogs(self._store, self._book, listing)
         self._members = find(services.MEMBERSHIP, members.Members)
@@ -60,7 +60,7 @@
         del grace_s
 
     def dump(self) -> Any:
-        """Returns an empty dump; `JobBook` dumps the cached jobs."""
+        """Returns an empty dump; `JobStore` dumps the cached jobs."""
         return {}
 
     def run_with(self, runner: jobmessages.JobRunner) -> None:
@@ -283,7 +283,7 @@
         return result.Ok(_page(view, after))
 
     def _wait_for_result(
-        self, view: jobbook.View, revision: int, wait_s: float
+        self, view: jobstore.View, revision: int, wait_s: float
     ) -> None:
         if wait_s <= 0:
             return
@@ -360,7 +360,7 @@
 
     def _view_for_customer(
         self, job: str, customer: str
-    ) -> result.Result[jobbook.View, jobmessages.JobError]:
+    ) -> result.Result[jobstore.View, jobmessages.JobError]:
         if self._book.cached(job) is None:
             self._job_peers.fetch_job(job)
         view = self._book.view(job)
@@ -371,6 +371,6 @@
         return view
 
 
-def _page(view: jobbook.View, after: int) -> dialect_lib.JobPage:
+def _page(view: jobstore.View, after: int) -> dialect_lib.JobPage:
     rows = jobpeers.results_page(view, after)
     return dialect_lib.JobPage(len(view.meta.items), after + len(rows), rows)
--- a/packages/gateway/gateway/jobbook.py
+++ b/packages/gateway/gateway/jobstore.py
@@ -43,7 +43,7 @@
         return len(self.results) >= len(self.meta.items)
 
 
-class JobBook:
+class JobStore:
     """Reads and changes jobs in the store; caches what never changes."""
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
--- a/packages/gateway/gateway/members.py
+++ b/packages/gateway/gateway/members.py
@@ -15,10 +15,10 @@
 from bulrushdeal import records as core_records
 from bulrushdeald import rendezvous
 from gateway import dialect as dialect_lib
-from gateway import listing
 from gateway import names
 from gateway import paging
 from gateway import records
+from gateway import retainedlist
 from gateway.decisions import leaders
 from gateway.decisions import leases
 
@@ -73,8 +73,8 @@
             cores=settings.cores,
         )
         self._incarnation = secrets.token_hex(8)
-        self._listing: listing.Listing[core_records.Vm] = listing.Listing(
-            lambda row: True
+        self._listing: retainedlist.Listing[core_records.Vm] = (
+            retainedlist.Listing(lambda row: True)
         )
         self._rows: tuple[core_records.Vm, ...] = (self._own,)
         self._lock = threading.Lock()
--- a/packages/gateway/gateway/placement.py
+++ b/packages/gateway/gateway/placement.py
@@ -21,10 +21,10 @@
 from gateway import configuration
 from gateway import health
 from gateway import heldslots
-from gateway import leading
 from gateway import members
 from gateway import names
 from gateway import records
+from gateway import slotleader
 from gateway import slotmessages
 from gateway import timedcalls
 from gateway import upstreamlist
@@ -109,7 +109,7 @@
         self._timed_calls = timedcalls.TimedCalls(self._peers)
         self._feed = find(names.CONFIGURATION, configuration.Feed)
         self._upstreams = find(names.UPSTREAM_LIST, upstreamlist.UpstreamList)
-        self._leader = leading.SlotLeader(self._upstreams, self._peers)
+        self._leader = slotleader.SlotLeader(self._upstreams, self._peers)
         self._leader.start()
         self._upstreams.on_change(self._on_list_change)
         self._peers.handle(
--- a/packages/gateway/gateway/progresswriter.py
+++ b/packages/gateway/gateway/progresswriter.py
@@ -7,10 +7,10 @@
 
 from bulrushdeal import eventlog
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import jobmessages
 from gateway import jobrecords
 from gateway import jobstate
+from gateway import jobstore
 
 _events = eventlog.Events("runner")
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        book: jobbook.JobBook,
+        book: jobstore.JobStore,
         table: jobstate.JobTable,
         value_bytes: int,
     ) -> None:
--- a/packages/gateway/gateway/resultwriter.py
+++ b/packages/gateway/gateway/resultwriter.py
@@ -7,9 +7,9 @@
 
 from bulrushdeal import eventlog
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import jobrecords
 from gateway import jobstate
+from gateway import jobstore
 from gateway import takeover
 
 _events = eventlog.Events("runner")
@@ -26,7 +26,7 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobbook.JobBook,
+        book: jobstore.JobStore,
         table: jobstate.JobTable,
         claims: takeover.Claims,
     ) -> None:
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -14,20 +14,20 @@
 from gateway import dialect as dialect_lib
 from gateway import eventstream
 from gateway import heldslots
-from gateway import jobbook
 from gateway import jobdirectory
 from gateway import joblisting
 from gateway import jobmessages
 from gateway import jobs
 from gateway import jobstate
+from gateway import jobstore
 from gateway import members
 from gateway import names
 from gateway import placement
 from gateway import progresswriter
 from gateway import records
 from gateway import resultwriter
-from gateway import sending
 from gateway import takeover
+from gateway import upstreamsender
 from gateway.decisions import batchorder
 
 _events = eventlog.Events("runner")
@@ -86,9 +86,9 @@
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
         self._configuration = find(names.CONFIGURATION, configuration.Feed)
         self._placement = find(names.PLACEMENT, placement.Placement)
-        self._book = find(names.JOB_BOOK, jobbook.JobBook)
+        self._book = find(names.JOB_STORE, jobstore.JobStore)
         self._directory = find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
-        self._sender = sending.Sender(self._kernel)
+        self._sender = upstreamsender.Sender(self._kernel)
         self._progress = progresswriter.ProgressWriter(
             self._book, self._table, self._value_bytes
         )
@@ -332,7 +332,7 @@
         item: jobstate.ItemState,
         slot: heldslots.Slot,
     ) -> None:
-        outgoing = sending.Outgoing(
+        outgoing = upstreamsender.Outgoing(
             item.item.item,
             "POST",
             item.item.path,
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -15,7 +15,7 @@
 from gateway import members
 from gateway import names
 from gateway import storemessages
-from gateway.decisions import probing
+from gateway.decisions import storeprobing
 
 _events = eventlog.Events("store")
 
@@ -283,13 +283,13 @@
         is_prober = (
             self._peers is None or self._members.own().vm in self._probers()
         )
-        return probing.pause_s(
+        return storeprobing.pause_s(
             lost_s, is_away=self._is_outage(), is_prober=is_prober
         )
 
     def _probers(self) -> tuple[str, ...]:
         """Returns the VMs that probe most often during an outage for all."""
-        return tuple(self._members.leaders("store")[: probing.PROBERS])
+        return tuple(self._members.leaders("store")[: storeprobing.PROBERS])
 
     def _is_outage(self) -> bool:
         """Returns whether, recently, no helper reached the store either."""
--- a/packages/gateway/gateway/takeover.py
+++ b/packages/gateway/gateway/takeover.py
@@ -11,11 +11,11 @@
 from bulrushdeal import codec
 from bulrushdeal import eventlog
 from gateway import dialect as dialect_lib
-from gateway import jobbook
 from gateway import joblisting
 from gateway import jobmessages
 from gateway import jobrecords
 from gateway import jobstate
+from gateway import jobstore
 from gateway import members
 
 _events = eventlog.Events("runner")
@@ -40,7 +40,7 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobbook.JobBook,
+        book: jobstore.JobStore,
         vms: members.Members,
     ) -> None:
         self._store = store
@@ -138,7 +138,7 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobbook.JobBook,
+        book: jobstore.JobStore,
         listing: joblisting.JobListing,
         vms: members.Members,
         table: jobstate.JobTable,
--- a/packages/gateway/gateway/upstreamlist.py
+++ b/packages/gateway/gateway/upstreamlist.py
@@ -7,10 +7,10 @@
 from bulrushdeal import eventlog
 from bulrushdeal import kernel as kernel_lib
 from gateway import dialect as dialect_lib
-from gateway import listing
 from gateway import names
 from gateway import paging
 from gateway import records
+from gateway import retainedlist
 
 _events = eventlog.Events("upstreams")
 
@@ -26,8 +26,8 @@
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         # A missing entry that was draining is not kept: its upstream leaves.
-        self._listing: listing.Listing[records.Upstream] = listing.Listing(
-            lambda row: not row.is_draining
+        self._listing: retainedlist.Listing[records.Upstream] = (
+            retainedlist.Listing(lambda row: not row.is_draining)
         )
         self._by_service: dict[str, tuple[records.Upstream, ...]] = {}
         self._by_instance: dict[str, records.Upstream] = {}
--- a/tests/gateway/test_backlogs.py
+++ b/tests/gateway/test_backlogs.py
@@ -13,10 +13,10 @@
 from gateway import backlogs
 from gateway import configuration
 from gateway import dialect
-from gateway import jobbook
 from gateway import joblisting
 from gateway import jobmessages
 from gateway import jobrecords
+from gateway import jobstore
 from gateway import names
 from gateway.decisions import backlog
 from support import gatewayengine
@@ -56,9 +56,9 @@
         kernel = kernel_lib.Kernel()
         kernel.offer(names.STORE, self.client)
         kernel.offer(names.DIALECT, wire.Dialect())
-        book = jobbook.JobBook(kernel)
+        book = jobstore.JobStore(kernel)
         book.start()
-        kernel.offer(names.JOB_BOOK, book)
+        kernel.offer(names.JOB_STORE, book)
         self.listing = joblisting.JobListing(kernel)
         self.listing.start()
         self._backlogs = backlogs.Backlogs(self.client, book, self.listing)
--- a/tests/gateway/test_deltas.py
+++ b/tests/gateway/test_deltas.py
@@ -7,7 +7,7 @@
 from gateway import deltas
 from gateway import joblisting
 from gateway import jobrecords
-from gateway import reading
+from gateway import storereaders
 
 _LISTS = strategies.lists(
     strategies.dictionaries(
@@ -68,8 +68,8 @@
 
 
 def _sent_bytes(vms: int, base: str, rows: joblisting.JobRows) -> int:
-    update = reading.ListUpdate("abcdef01.u1", 0.1, base, ())
-    followed = reading.Followed(1, update, (), update, (), update, rows)
+    update = storereaders.ListUpdate("abcdef01.u1", 0.1, base, ())
+    followed = storereaders.Followed(1, update, (), update, (), update, rows)
     return vms * len(codec.pack(followed))
 
 
--- a/tests/gateway/test_jobdirectory.py
+++ b/tests/gateway/test_jobdirectory.py
@@ -5,10 +5,10 @@
 
 from bulrushdeald import services
 from gateway import dialect
-from gateway import jobbook
 from gateway import jobdirectory
 from gateway import jobrecords
 from gateway import jobstate
+from gateway import jobstore
 from gateway import members
 from gateway import names
 from support import gatewayscene
@@ -149,7 +149,7 @@
 ) -> None:
     scene.add_engine()
     vm = scene.add_vm()
-    book = vm.kernel.find(names.JOB_BOOK, jobbook.JobBook)
+    book = vm.kernel.find(names.JOB_STORE, jobstore.JobStore)
     for number in range(6):
         job = f"scan{number}"
         assert vm.submit(job, _items(2)).status == 202
--- a/tests/gateway/test_listing.py
+++ b/tests/gateway/test_retainedlist.py
@@ -1,10 +1,10 @@
 """Tests lists whose entries expire during an outage of the store."""
 
-from gateway import listing
+from gateway import retainedlist
 
 
-def _listing() -> listing.Listing[str]:
-    return listing.Listing(lambda row: row != "leaving")
+def _listing() -> retainedlist.Listing[str]:
+    return retainedlist.Listing(lambda row: row != "leaving")
 
 
 def test_entries_that_expired_in_an_outage_stay_for_two_seconds() -> None:
--- a/tests/gateway/test_returns.py
+++ b/tests/gateway/test_retryschedule.py
@@ -5,7 +5,7 @@
 from bench.replay import fleet as fleet_lib
 from bench.replay import loads
 from bench.replay import policies
-from gateway.decisions import returns
+from gateway.decisions import retryschedule
 
 
 def _refused_share(replicas: int) -> float:
@@ -35,18 +35,18 @@
 ) -> None:
     """A burst meets one engine behind a network cut, or all five engines."""
     staggered = _refused_share(replicas)
-    monkeypatch.setattr(returns.RetrySchedule, "reserve", lambda *_: 0.0)
+    monkeypatch.setattr(retryschedule.RetrySchedule, "reserve", lambda *_: 0.0)
     together = _refused_share(replicas)
     assert staggered < together * 0.7
 
 
 def test_a_slot_is_reserved_once() -> None:
-    schedule = returns.RetrySchedule()
+    schedule = retryschedule.RetrySchedule()
     first_s = schedule.reserve(0.0, 0.1)
     assert schedule.reserve(0.0, 0.1) > first_s
     assert schedule.reserve(first_s * 3, 0.1) == first_s
 
 
 def test_no_retry_is_later_than_callers_wait() -> None:
-    schedule = returns.RetrySchedule()
+    schedule = retryschedule.RetrySchedule()
     assert max(schedule.reserve(0.0, 0.1) for _ in range(100)) <= 1.6
--- a/tests/gateway/test_probing.py
+++ b/tests/gateway/test_storeprobing.py
@@ -1,12 +1,12 @@
 """The intervals at which VMs probe a store that one or all have lost."""
 
-from gateway.decisions import probing
+from gateway.decisions import storeprobing
 
 
 def _probes(for_s: float, *, is_away: bool, is_prober: bool) -> int:
     count, at_s = 0, 0.0
     while at_s < for_s:
-        at_s += probing.pause_s(at_s, is_away=is_away, is_prober=is_prober)
+        at_s += storeprobing.pause_s(at_s, is_away=is_away, is_prober=is_prober)
         count += 1
     return count
 
@@ -17,7 +17,9 @@
     The store limits the calls of a fleet, not of each VM: in an outage the
     calls must not grow faster than one per VM in two seconds.
     """
-    by_probers = _probes(7.0, is_away=True, is_prober=True) * probing.PROBERS
+    by_probers = (
+        _probes(7.0, is_away=True, is_prober=True) * storeprobing.PROBERS
+    )
     by_another = _probes(7.0, is_away=True, is_prober=False)
     assert by_another <= 4
     assert by_probers <= 80
@@ -25,9 +27,9 @@
 
 def test_the_return_of_the_store_is_noticed_within_a_second() -> None:
     """Entries have to be restored in two seconds; renewing takes one."""
-    assert probing.pause_s(6.0, is_away=True, is_prober=True) < 0.5
+    assert storeprobing.pause_s(6.0, is_away=True, is_prober=True) < 0.5
 
 
 def test_a_vm_that_others_help_probes_less_and_less() -> None:
     assert _probes(9.0, is_away=False, is_prober=False) <= 5
-    assert probing.pause_s(0.0, is_away=False, is_prober=False) <= 1.0
+    assert storeprobing.pause_s(0.0, is_away=False, is_prober=False) <= 1.0
--- a/tests/gateway/test_reading.py
+++ b/tests/gateway/test_storereaders.py
@@ -7,14 +7,14 @@
 
 from bulrushdeal import kernel as kernel_lib
 from gateway import configuration
-from gateway import jobbook
 from gateway import joblisting
 from gateway import jobrecords
+from gateway import jobstore
 from gateway import members
 from gateway import names
-from gateway import reading
 from gateway import records
 from gateway import storepath
+from gateway import storereaders
 from gateway import upstreamlist
 from support import gatewayscene
 
@@ -34,7 +34,7 @@
     return [
         vm
         for vm in vms
-        if vm.kernel.find("reading", reading.Reading).dump()["is_reader"]
+        if vm.kernel.find("reading", storereaders.Reading).dump()["is_reader"]
     ]
 
 
@@ -147,7 +147,7 @@
     vms = _vms(scene, 4)
     followers = [vm for vm in vms if vm not in _readers(vms)]
     scene.add_vm("late", "d1")
-    keys = vms[0].kernel.find(names.JOB_BOOK, jobbook.JobBook).keys
+    keys = vms[0].kernel.find(names.JOB_STORE, jobstore.JobStore).keys
     opened = jobrecords.pack(jobrecords.OpenJob(0))
     claim = jobrecords.pack(jobrecords.Claim("elsewhere"))
     scene.store.write(keys.open_job("j1"), opened)
@@ -177,7 +177,7 @@
     for vm in readers:
         found = vm.kernel.find("membership", members.Members)
         monkeypatch.setattr(found, "rank", lambda key: [])
-    keys = vms[0].kernel.find(names.JOB_BOOK, jobbook.JobBook).keys
+    keys = vms[0].kernel.find(names.JOB_STORE, jobstore.JobStore).keys
     opened = jobrecords.pack(jobrecords.OpenJob(0))
     scene.store.write(keys.open_job("j1"), opened)
     gatewayscene.until(lambda: keys.claim("j1") in scene.store.rows)
--- a/tests/gateway/test_streamretries.py
+++ b/tests/gateway/test_streamtimeouts.py
@@ -2,7 +2,7 @@
 
 import random
 
-from gateway.decisions import streamretries
+from gateway.decisions import streamtimeouts
 
 _ROUTE = "hints"
 _TARGET_S = 0.3
@@ -15,7 +15,7 @@
         times_s: The time to the first event of each stream. A retry takes a
             time drawn from the same list.
     """
-    retries = streamretries.StreamRetries()
+    retries = streamtimeouts.StreamTimeouts()
     draw = random.Random(1)
     given_up = on_time = 0
     for took_s in times_s:
@@ -55,7 +55,7 @@
 
 
 def test_a_stream_in_an_engines_queue_is_not_given_up_early() -> None:
-    retries = streamretries.StreamRetries()
+    retries = streamtimeouts.StreamTimeouts()
     retries.note_first_event(_ROUTE, 0.05)
     assert retries.first_event_s(_ROUTE, _TARGET_S, is_free=False) >= 0.9
 
@@ -73,13 +73,13 @@
 
 def test_without_past_first_events_no_stream_is_given_up_early() -> None:
     """A VM that has just started has a budget; its first streams are slow."""
-    retries = streamretries.StreamRetries()
+    retries = streamtimeouts.StreamTimeouts()
     assert retries.first_event_s(_ROUTE, _TARGET_S, is_free=True) >= 0.9
 
 
 def test_first_event_times_are_kept_per_route() -> None:
     """Times of short prompts must not limit a route of long prompts."""
-    retries = streamretries.StreamRetries()
+    retries = streamtimeouts.StreamTimeouts()
     for _ in range(20):
         retries.note_first_event("short", 0.05)
         retries.note_first_event("long", 0.25)
@@ -88,7 +88,7 @@
 
 
 def test_the_number_of_routes_is_bounded() -> None:
-    retries = streamretries.StreamRetries()
+    retries = streamtimeouts.StreamTimeouts()
     for number in range(10_000):
         retries.note_first_event(f"route-{number}", 0.05)
     assert retries.first_event_s("route-0", _TARGET_S, is_free=True) >= 0.9
@@ -96,7 +96,7 @@
 
 def test_pauses_share_the_budget() -> None:
     """All engines freeze for a moment; the budget limits the retries."""
-    retries = streamretries.StreamRetries()
+    retries = streamtimeouts.StreamTimeouts()
     assert retries.gap_s(0.3, _TARGET_S) < 0.3
     for _ in range(3):
         retries.note_given_up()
