--- a/packages/bench/bench/replay/items.py
+++ b/packages/bench/bench/replay/items.py
@@ -35,7 +35,7 @@
 
     job: _Job
     item: jobstate.ItemState
-    standing: batchorder.Standing
+    priority: batchorder.ItemPriority
 
 
 class ItemVm:
@@ -114,13 +114,13 @@
         self._timeline.after(_FEED_S, self._feed)
         room = min(_MOST_ASKED, _MOST_RUNS - self._runs)
         rows = sorted(
-            self._ready(), key=lambda row: batchorder.rank(row.standing)
+            self._ready(), key=lambda row: batchorder.rank(row.priority)
         )[:room]
         if self._is_asking or not rows:
             return
         self._is_asking = True
         asked = [
-            slotledger.BatchRun(self._slots.name(self._vm), row.standing)
+            slotledger.BatchRun(self._slots.name(self._vm), row.priority)
             for row in rows
         ]
 
@@ -136,7 +136,7 @@
         run_s = self._run_s if self._has_late_last else 0.0
         moment = jobstate.Moment(now_s, now_s, run_s)
         return [
-            _Asked(job, item, job.state.standing(item, moment))
+            _Asked(job, item, job.state.priority(item, moment))
             for job in self._jobs
             for item in job.state.ready(moment)
         ]
@@ -148,7 +148,7 @@
         self._runs += 1
         item.begin(self._timeline.now_s)
         held = slots_lib.Held(
-            slotledger.ReportRow(run, instance, row.standing),
+            slotledger.ReportRow(run, instance, row.priority),
             self._vm,
             lambda: self._cut(run, instance, row),
         )
--- a/packages/bench/bench/replay/policies.py
+++ b/packages/bench/bench/replay/policies.py
@@ -15,17 +15,17 @@
 class Retries(Protocol):
     """When a stream that does not begin is begun elsewhere."""
 
-    def note_send(self) -> None:
+    def record_send(self) -> None:
         """Notes a stream that was sent to an upstream."""
 
-    def note_given_up(self) -> None:
+    def record_given_up(self) -> None:
         """Notes a stream that was given up as silent."""
 
-    def note_first_event(self, route: str, took_s: float) -> None:
+    def record_first_event(self, route: str, took_s: float) -> None:
         """Notes how long a stream with a free slot took to begin."""
 
-    def first_event_s(
-        self, route: str, target_s: float, *, is_free: bool
+    def first_event_timeout_s(
+        self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
         """Returns how long a stream may take to begin."""
 
@@ -47,7 +47,7 @@
 class _WithoutPreemption(slotledger.Ledger):
     """Never takes a slot from a batch item."""
 
-    def _victim(
+    def _preemption_victim(
         self,
         choices: Iterable[records.Upstream],
         domain: str,
@@ -60,28 +60,28 @@
 class _EarlyRetries(streamtimeouts.StreamTimeouts):
     """Retries a stream early whatever is usual, without a budget."""
 
-    def note_given_up(self) -> None:
+    def record_given_up(self) -> None:
         """See `Retries`."""
 
-    def first_event_s(
-        self, route: str, target_s: float, *, is_free: bool
+    def first_event_timeout_s(
+        self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
         """See `Retries`."""
         del route
-        if not is_free:
-            return streamtimeouts.patient_s(target_s)
+        if not starts_at_once:
+            return streamtimeouts.default_timeout_s(target_s)
         return target_s * _EARLY_SHARE
 
 
 class _NoEarlyRetries(streamtimeouts.StreamTimeouts):
     """Never gives up a stream early."""
 
-    def first_event_s(
-        self, route: str, target_s: float, *, is_free: bool
+    def first_event_timeout_s(
+        self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
         """See `Retries`."""
-        del route, is_free
-        return streamtimeouts.patient_s(target_s)
+        del route, starts_at_once
+        return streamtimeouts.default_timeout_s(target_s)
 
 
 _PRODUCT = Policy(slotledger.Ledger, streamtimeouts.StreamTimeouts)
--- a/packages/bench/bench/replay/slots.py
+++ b/packages/bench/bench/replay/slots.py
@@ -15,7 +15,7 @@
 _REPORT_S = 1.0
 _SERVICE = "llm"
 
-OnTaken = Callable[[slotledger.Grant | slotledger.NoRoom], None]
+OnTaken = Callable[[slotledger.Grant | slotledger.Refusal], None]
 OnEngines = Callable[[tuple[str, ...]], None]
 
 
@@ -89,7 +89,7 @@
                 excluded=excluded,
             )
             if isinstance(taken, slotledger.Grant):
-                for victim in taken.yields:
+                for victim in taken.preempted:
                     self._later(functools.partial(self._cut, victim))
             self._later(lambda: on_taken(taken))
 
@@ -146,7 +146,9 @@
                 self._later(on_busy)
                 return
             load = slotledger.Load(instance, upstream.busy())
-            self._later(lambda: self._ledger.observe(load, self.timeline.now_s))
+            self._later(
+                lambda: self._ledger.record_load(load, self.timeline.now_s)
+            )
 
         self._later(arrive)
 
--- a/packages/bench/bench/replay/streams.py
+++ b/packages/bench/bench/replay/streams.py
@@ -83,8 +83,8 @@
     def _place(self, request: _Request) -> None:
         run = self._slots.name(self._vm)
 
-        def on_taken(taken: slotledger.Grant | slotledger.NoRoom) -> None:
-            if isinstance(taken, slotledger.NoRoom):
+        def on_taken(taken: slotledger.Grant | slotledger.Refusal) -> None:
+            if isinstance(taken, slotledger.Refusal):
                 self._refuse(request, taken.retry_after_s)
                 return
             self._send(request, run, taken)
@@ -134,11 +134,11 @@
         )
         if not request.may_run_again():
             return
-        self._retries.note_send()
-        silence_s = self._retries.first_event_s(
+        self._retries.record_send()
+        silence_s = self._retries.first_event_timeout_s(
             request.spec.name,
             request.spec.target_s,
-            is_free=not grant.is_queued,
+            starts_at_once=not grant.is_queued,
         )
         self._timeline.after(
             silence_s,
@@ -164,7 +164,7 @@
         now_s = self._timeline.now_s
         if not request.first_s and not sent.is_queued:
             took_s = now_s - sent.at_s
-            self._retries.note_first_event(request.spec.name, took_s)
+            self._retries.record_first_event(request.spec.name, took_s)
         if request.first_s:
             pause_s = now_s - request.last_s
             request.longest_s = max(request.longest_s, pause_s)
@@ -176,7 +176,7 @@
         """Begins a stream elsewhere that has not begun."""
         if request.first_s:
             return
-        self._retries.note_given_up()
+        self._retries.record_given_up()
         self._slots.cancel(run, instance)
         self._slots.release(run, "failed")
         request.run = ""
--- a/packages/gateway/gateway/backlogs.py
+++ b/packages/gateway/gateway/backlogs.py
@@ -163,7 +163,7 @@
             for row in map(_unpack_open_job, listed.unwrap().entries)
             if row is not None and row.backlog == backlog_name
         ]
-        waiting = backlog.count(rows)
+        waiting = backlog.waiting_tokens(rows)
         if demand.fits(waiting):
             return result.Ok(latest._replace(tokens=waiting))
         now_ms = int(time.time() * 1000)
--- a/packages/gateway/gateway/decisions/backlog.py
+++ b/packages/gateway/gateway/decisions/backlog.py
@@ -32,13 +32,13 @@
         return waiting_tokens + self.tokens <= self.bound
 
 
-def count(opened: Iterable[jobrecords.OpenJob]) -> int:
+def waiting_tokens(open_jobs: Iterable[jobrecords.OpenJob]) -> int:
     """Returns the total tokens of open jobs' items that have no result."""
-    return sum(row.tokens for row in opened)
+    return sum(row.tokens for row in open_jobs)
 
 
 def retry_after_s(
-    opened: Iterable[jobrecords.OpenJob], demand: Demand, now_ms: int
+    open_jobs: Iterable[jobrecords.OpenJob], demand: Demand, now_ms: int
 ) -> float:
     """Returns the time until a job is likely to fit, in seconds.
 
@@ -46,15 +46,15 @@
     even rate until the job is due.
 
     Args:
-        opened: The customer's open jobs on the route.
+        open_jobs: The customer's open jobs on the route.
         demand: The job that does not fit beside them.
         now_ms: The current time, in milliseconds since the epoch.
 
     Returns:
         The time; 0 if the job can never fit.
     """
-    rows = list(opened)
-    excess = count(rows) + demand.tokens - demand.bound
+    rows = list(open_jobs)
+    excess = waiting_tokens(rows) + demand.tokens - demand.bound
     rate_per_s = sum(
         row.tokens / max(_MIN_LEFT_S, (row.due_ms - now_ms) / _MS_PER_S)
         for row in rows
--- a/packages/gateway/gateway/decisions/batchorder.py
+++ b/packages/gateway/gateway/decisions/batchorder.py
@@ -19,7 +19,7 @@
 _WAITING_LIFETIME_S = 0.3
 
 
-class Standing(NamedTuple):
+class ItemPriority(NamedTuple):
     """The values that decide the rank of a batch item.
 
     Attributes:
@@ -32,8 +32,8 @@
     done_s: float = 0.0
     is_late: bool = False
 
-    def after(self, ran_s: float) -> "Standing":
-        """Returns the standing after the item ran for `ran_s` more seconds."""
+    def after(self, ran_s: float) -> "ItemPriority":
+        """Returns the priority after the item ran for `ran_s` more seconds."""
         return self._replace(done_s=self.done_s + ran_s)
 
 
@@ -52,10 +52,10 @@
     negative_done_s: float
 
 
-def rank(standing: Standing) -> Rank:
-    """Returns the rank of an item with a given standing."""
-    due_step = int(standing.due_s // _DUE_STEP_S)
-    return Rank(standing.is_late, due_step, -standing.done_s)
+def rank(priority: ItemPriority) -> Rank:
+    """Returns the rank of an item with a given priority."""
+    due_step = int(priority.due_s // _DUE_STEP_S)
+    return Rank(priority.is_late, due_step, -priority.done_s)
 
 
 class _VmItems(NamedTuple):
--- a/packages/gateway/gateway/decisions/calltimes.py
+++ b/packages/gateway/gateway/decisions/calltimes.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self._times: dict[str, _Times] = {}
 
-    def note(self, vm: str, took_s: float) -> None:
+    def record(self, vm: str, took_s: float) -> None:
         """Records how long an answer took."""
         times = self._times.get(vm)
         if times is None:
@@ -50,7 +50,7 @@
             + (deviation_s - times.mean_deviation_s) * _DEVIATION_WEIGHT,
         )
 
-    def note_timeout(self, vm: str) -> None:
+    def record_timeout(self, vm: str) -> None:
         """Records a timeout, after which the next call gets the longest one."""
         self._times.pop(vm, None)
 
--- a/packages/gateway/gateway/decisions/leaders.py
+++ b/packages/gateway/gateway/decisions/leaders.py
@@ -25,11 +25,11 @@
 
     Attributes:
         vms: The VMs.
-        leaders: How many of them are to lead at most.
+        max_leaders: How many of them are to lead at most.
     """
 
     vms: tuple[str, ...]
-    leaders: int
+    max_leaders: int
 
 
 def candidates(cores: Mapping[str, float]) -> Candidates:
--- a/packages/gateway/gateway/decisions/leases.py
+++ b/packages/gateway/gateway/decisions/leases.py
@@ -6,7 +6,7 @@
 # Duration of a lease; the loss of a VM is noticed when its lease expires.
 LEASE_S = 4.0
 # Longest interval between a VM's checks of whether its lease needs renewal.
-LOOK_S = 0.9
+CHECK_INTERVAL_S = 0.9
 # In a fleet of this size a lease is renewed at each check. In a larger fleet
 # renewals become rarer with the square root of the size, but at least every
 # second check renews the lease.
--- a/packages/gateway/gateway/decisions/slotledger.py
+++ b/packages/gateway/gateway/decisions/slotledger.py
@@ -43,14 +43,14 @@
         vm: The VM that sends the request.
         instance: The engine it runs on.
         since_s: When it got the slot, by the monotonic clock.
-        standing: The priority of a batch item; `None` for an online request.
+        priority: The priority of a batch item; `None` for an online request.
         is_silent: See `ReportRow`.
     """
 
     vm: str
     instance: str
     since_s: float
-    standing: batchorder.Standing | None = None
+    priority: batchorder.ItemPriority | None = None
     is_silent: bool = False
 
 
@@ -59,11 +59,11 @@
 
     Attributes:
         run: The unique name of the run.
-        standing: The priority of the item.
+        priority: The priority of the item.
     """
 
     run: str
-    standing: batchorder.Standing
+    priority: batchorder.ItemPriority
 
 
 class Grant(NamedTuple):
@@ -71,12 +71,12 @@
 
     Attributes:
         instance: The engine.
-        yields: The batch runs that are preempted for it.
+        preempted: The batch runs that are preempted for it.
         is_queued: Whether the request has to wait in the engine's queue.
     """
 
     instance: str
-    yields: tuple[str, ...] = ()
+    preempted: tuple[str, ...] = ()
     is_queued: bool = False
 
 
@@ -92,7 +92,7 @@
     slots: int
 
 
-class NoRoom(NamedTuple):
+class Refusal(NamedTuple):
     """A refusal, as no slot will come free soon enough.
 
     Attributes:
@@ -110,7 +110,7 @@
     Attributes:
         run: The unique name of the run.
         instance: The engine it runs on.
-        standing: The current priority of a batch item; `None` for an online
+        priority: The current priority of a batch item; `None` for an online
             request.
         is_silent: Whether an answer is outstanding and the engine has sent
             nothing recently.
@@ -118,7 +118,7 @@
 
     run: str
     instance: str
-    standing: batchorder.Standing | None = None
+    priority: batchorder.ItemPriority | None = None
     is_silent: bool = False
 
 
@@ -179,7 +179,7 @@
         target_s: float,
         excluded: Iterable[str] = (),
         domain: str = "",
-    ) -> Grant | NoRoom:
+    ) -> Grant | Refusal:
         """Grants a slot to an online request, or refuses it at once.
 
         The request gets a free slot; else the slot of a batch run, which is
@@ -197,17 +197,17 @@
         """
         choices = self._eligible_engines(excluded, now_s)
         if not choices:
-            return NoRoom(_MIN_RETRY_S, Occupancy(0, 0))
+            return Refusal(_MIN_RETRY_S, Occupancy(0, 0))
         best = min(choices, key=lambda row: self._sort_key(row, domain, now_s))
         excess = self._estimated_load(best, now_s) - best.slots
         if excess <= -1:
             return self._grant(run, vm, best, now_s)
-        victim = self._victim(choices, domain, now_s)
+        victim = self._preemption_victim(choices, domain, now_s)
         if victim:
             instance = self._runs[victim].instance
             self.release(victim, now_s)
             grant = self._grant(run, vm, self._engines[instance], now_s)
-            return grant._replace(yields=(victim,))
+            return grant._replace(preempted=(victim,))
         if excess < self._max_queued(best, target_s):
             grant = self._grant(run, vm, best, now_s)
             return grant._replace(is_queued=True)
@@ -216,7 +216,7 @@
         occupancy = self._occupancy(choices, now_s)
         slot_interval_s = self._run_s / occupancy.slots
         reserved_s = self._retry_schedule.reserve(now_s, slot_interval_s)
-        return NoRoom(max(drain_s, reserved_s), occupancy)
+        return Refusal(max(drain_s, reserved_s), occupancy)
 
     def take_batch(
         self,
@@ -245,10 +245,10 @@
             instance = self._batch_engine(vm, row, left_out, now_s)
             if not instance:
                 break
-            self._add(row.run, Run(vm, instance, now_s, row.standing))
+            self._add(row.run, Run(vm, instance, now_s, row.priority))
             engines.append(instance)
         unplaced = [
-            batchorder.rank(row.standing) for row in runs[len(engines) :]
+            batchorder.rank(row.priority) for row in runs[len(engines) :]
         ]
         self._waiting.replace(vm, unplaced, left_out, now_s)
         return tuple(engines)
@@ -268,7 +268,7 @@
         )
         if not free:
             return ""
-        own_rank = batchorder.rank(row.standing)
+        own_rank = batchorder.rank(row.priority)
         ahead = self._waiting.count_ahead(vm, own_rank, free, now_s)
         if sum(free_slots[name] for name in free) <= ahead:
             return ""
@@ -291,7 +291,7 @@
         if outcome != "ok":
             return
         self._record_outcome(held.instance, now_s, has_failed=False)
-        if held.standing is None:
+        if held.priority is None:
             took_s = now_s - held.since_s
             self._run_s += (took_s - self._run_s) * _RUN_WEIGHT
 
@@ -321,15 +321,15 @@
                 self.release(run, now_s)
         for run, row in reported.items():
             if run not in self._runs:
-                self._add(run, Run(vm, row.instance, now_s, row.standing))
+                self._add(run, Run(vm, row.instance, now_s, row.priority))
             if row.is_silent and not self._runs[run].is_silent:
                 # The run may wait for seconds before it ends as failed, so
                 # the failure is counted now.
                 self._runs[run] = self._runs[run]._replace(is_silent=True)
                 self._record_outcome(row.instance, now_s, has_failed=True)
 
-    def observe(self, load: Load, now_s: float) -> None:
-        """Notes the load that an engine reports beyond the ledger's runs."""
+    def record_load(self, load: Load, now_s: float) -> None:
+        """Records the load that an engine reports beyond the ledger's runs."""
         extra = load.busy - self._counts.get(load.instance, 0)
         self._observed[load.instance] = _ObservedLoad(max(0, extra), now_s)
 
@@ -392,7 +392,7 @@
         is_far = bool(domain) and row.failure_domain != domain
         return (fill >= 1.0, is_far and fill < 1.0, fill, self._rng.random())
 
-    def _victim(
+    def _preemption_victim(
         self, choices: Iterable[records.Upstream], domain: str, now_s: float
     ) -> str:
         """Returns the batch run to preempt; empty if there is none.
@@ -405,10 +405,10 @@
         domains = {row.instance: row.failure_domain for row in choices}
         runs = []
         for run, held in self._runs.items():
-            if held.standing is None or held.instance not in domains:
+            if held.priority is None or held.instance not in domains:
                 continue
             item_rank = batchorder.rank(
-                held.standing.after(now_s - held.since_s)
+                held.priority.after(now_s - held.since_s)
             )
             is_near = domains[held.instance] == domain
             runs.append((item_rank.is_late, is_near, item_rank, run))
--- a/packages/gateway/gateway/decisions/storeprobing.py
+++ b/packages/gateway/gateway/decisions/storeprobing.py
@@ -15,17 +15,17 @@
 _MAX_HELPED_PAUSE_S = 4.0
 
 
-def pause_s(lost_s: float, *, is_away: bool, is_prober: bool) -> float:
+def pause_s(lost_s: float, *, is_outage: bool, is_prober: bool) -> float:
     """Returns how long to wait until the next probe.
 
     Args:
         lost_s: For how long this VM has not reached the store, in seconds.
-        is_away: Whether no other VM reaches the store either.
+        is_outage: Whether no other VM reaches the store either.
         is_prober: Whether this VM is one of those that probe for all.
 
     Returns:
         The pause in seconds.
     """
-    if is_away:
+    if is_outage:
         return _PROBER_PAUSE_S if is_prober else _NON_PROBER_PAUSE_S
     return min(max(_MIN_HELPED_PAUSE_S, lost_s), _MAX_HELPED_PAUSE_S)
--- a/packages/gateway/gateway/decisions/streamtimeouts.py
+++ b/packages/gateway/gateway/decisions/streamtimeouts.py
@@ -20,8 +20,8 @@
 _MIN_SILENCE_S = 0.15
 # The silence after which any repeatable request is retried at another upstream:
 # a least time, and a multiple of the target.
-_MIN_PATIENT_S = 1.0
-_PATIENT_TARGETS = 3.0
+_MIN_DEFAULT_TIMEOUT_S = 1.0
+_DEFAULT_TIMEOUT_TARGETS = 3.0
 # Share of the streams sent that may be given up early, and the most unused
 # retries that are saved up for a moment at which upstreams are cut off.
 _BUDGET_SHARE = 0.1
@@ -76,15 +76,15 @@
         self._budget = _MAX_BUDGET
         self._first_event_times: dict[str, _FirstEventTimes] = {}
 
-    def note_send(self) -> None:
+    def record_send(self) -> None:
         """Records that a stream was sent to an upstream."""
         self._budget = min(_MAX_BUDGET, self._budget + _BUDGET_SHARE)
 
-    def note_given_up(self) -> None:
+    def record_given_up(self) -> None:
         """Records that a stream was given up as silent."""
         self._budget -= 1.0
 
-    def note_first_event(self, route: str, took_s: float) -> None:
+    def record_first_event(self, route: str, took_s: float) -> None:
         """Records the time to the first event of a stream with a free slot."""
         times = self._first_event_times.get(route)
         if times is not None:
@@ -94,27 +94,29 @@
             self._first_event_times.clear()
         self._first_event_times[route] = _FirstEventTimes(took_s, took_s / 2)
 
-    def first_event_s(
-        self, route: str, target_s: float, *, is_free: bool
+    def first_event_timeout_s(
+        self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
         """Returns how long a stream may take to its first event.
 
         Args:
             route: The name of the stream's route.
             target_s: The target for the first event, in seconds.
-            is_free: Whether the stream has a free slot and does not wait in
-                the engine's queue.
+            starts_at_once: Whether the stream has a free slot and does not wait
+                in the engine's queue.
 
         Returns:
             The time in seconds.
         """
         times = self._first_event_times.get(route)
-        if not is_free or self._budget < 1.0 or times is None:
-            return patient_s(target_s)
+        if not starts_at_once or self._budget < 1.0 or times is None:
+            return default_timeout_s(target_s)
         least_s = max(target_s * _FIRST_EVENT_SHARE, _MIN_SILENCE_S)
-        return min(max(least_s, times.upper_bound_s()), patient_s(target_s))
+        return min(
+            max(least_s, times.upper_bound_s()), default_timeout_s(target_s)
+        )
 
-    def gap_s(self, gap_target_s: float, target_s: float) -> float:
+    def gap_timeout_s(self, gap_target_s: float, target_s: float) -> float:
         """Returns how long a stream may pause between two events.
 
         Args:
@@ -125,11 +127,11 @@
             The time in seconds.
         """
         if not gap_target_s or self._budget < 1.0:
-            return patient_s(target_s)
+            return default_timeout_s(target_s)
         return max(gap_target_s * _GAP_SHARE, _MIN_SILENCE_S)
 
 
-def patient_s(target_s: float) -> float:
+def default_timeout_s(target_s: float) -> float:
     """Returns the silence after which any repeatable request is retried.
 
     Args:
@@ -138,4 +140,4 @@
     Returns:
         The time in seconds.
     """
-    return max(_MIN_PATIENT_S, target_s * _PATIENT_TARGETS)
+    return max(_MIN_DEFAULT_TIMEOUT_S, target_s * _DEFAULT_TIMEOUT_TARGETS)
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -60,7 +60,7 @@
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
-        self._retries = streamtimeouts.StreamTimeouts()
+        self._stream_timeouts = streamtimeouts.StreamTimeouts()
 
     def start(self) -> None:
         """Looks up the services that the forwarder uses."""
@@ -90,7 +90,7 @@
             self._placement,
             self._sender,
             self._metrics,
-            self._retries,
+            self._stream_timeouts,
             request,
             call,
         ).run()
@@ -104,14 +104,14 @@
         placer: placement.Placement,
         sender: upstreamsender.Sender,
         meter: metrics.Metrics,
-        retries: streamtimeouts.StreamTimeouts,
+        stream_timeouts: streamtimeouts.StreamTimeouts,
         request: OnlineRequest,
         call: opencalls.Call,
     ) -> None:
         self._placement = placer
         self._sender = sender
         self._metrics = meter
-        self._retries = retries
+        self._stream_timeouts = stream_timeouts
         self._request = request
         self._route = request.route
         self._call = call
@@ -162,7 +162,7 @@
             self._tried_instances.append(slot.upstream.instance)
             self._call.sends += 1
             if self._may_run_again(1):
-                self._retries.note_send()
+                self._stream_timeouts.record_send()
             self._sent_s = time.monotonic()
             sent = self._sender.send(
                 self._request.outgoing,
@@ -202,9 +202,9 @@
             return remaining_s
         target_s = self._route.target_latency_s
         if self._route.kind != "streaming":
-            return min(remaining_s, streamtimeouts.patient_s(target_s))
-        first_s = self._retries.first_event_s(
-            self._route.name, target_s, is_free=slot.is_free
+            return min(remaining_s, streamtimeouts.default_timeout_s(target_s))
+        first_s = self._stream_timeouts.first_event_timeout_s(
+            self._route.name, target_s, starts_at_once=slot.is_free
         )
         return min(remaining_s, first_s)
 
@@ -220,7 +220,7 @@
             self._call.runs += 1
             self._slot_wait_until_s = time.monotonic() + _RERUN_SLOT_WAIT_S
         if failure.kind == "silent" and self._route.kind == "streaming":
-            self._retries.note_given_up()
+            self._stream_timeouts.record_given_up()
         _events.warning(
             "send_failed",
             request=self._call.attempt,
@@ -349,7 +349,7 @@
         self._metrics.first_event(self._call.age_s())
         if self._slot is not None and self._slot.is_free:
             took_s = time.monotonic() - self._sent_s
-            self._retries.note_first_event(self._route.name, took_s)
+            self._stream_timeouts.record_first_event(self._route.name, took_s)
 
     def _stream_events(
         self, opened: upstreamsender.OpenAnswer
@@ -391,7 +391,7 @@
         """
         if not self._route.gap_target_s or not self._may_run_again():
             return
-        gap_s = self._retries.gap_s(
+        gap_s = self._stream_timeouts.gap_timeout_s(
             self._route.gap_target_s, self._route.target_latency_s
         )
         opened.answer.allow_silence(gap_s)
--- a/packages/gateway/gateway/heldslots.py
+++ b/packages/gateway/gateway/heldslots.py
@@ -15,7 +15,7 @@
     Attributes:
         run: The name of the run that uses the slot.
         upstream: The upstream.
-        standing: The batch item's standing; `None` for an online request.
+        priority: The batch item's priority; `None` for an online request.
         is_free: Whether the run begins at once, according to the service's
             leader; false if that is not known.
         has_yielded: Whether the slot was preempted.
@@ -27,12 +27,12 @@
         self,
         run: str,
         upstream: records.Upstream,
-        standing: batchorder.Standing | None,
+        priority: batchorder.ItemPriority | None,
         on_release: Callable[["Slot"], None],
     ) -> None:
         self.run = run
         self.upstream = upstream
-        self.standing = standing
+        self.priority = priority
         self.is_free = False
         self.has_yielded = False
         self.outcome: slotledger.Outcome = "unknown"
@@ -45,7 +45,7 @@
     @property
     def is_batch(self) -> bool:
         """Whether a batch item uses the slot."""
-        return self.standing is not None
+        return self.priority is not None
 
     def on_yield(self, cancel: Callable[[], None]) -> None:
         """Sets the callback that ends the run when the slot is preempted.
@@ -96,7 +96,7 @@
         service: str,
         run: str,
         upstream: records.Upstream,
-        standing: batchorder.Standing | None = None,
+        priority: batchorder.ItemPriority | None = None,
     ) -> Slot:
         """Adds a slot and returns it.
 
@@ -104,12 +104,12 @@
             service: The upstream's service.
             run: The name of the run that uses the slot.
             upstream: The upstream.
-            standing: The batch item's standing; `None` for an online request.
+            priority: The batch item's priority; `None` for an online request.
         """
         slot = Slot(
             run,
             upstream,
-            standing,
+            priority,
             lambda slot: self._remove(service, slot),
         )
         with self._lock:
--- a/packages/gateway/gateway/jobstate.py
+++ b/packages/gateway/gateway/jobstate.py
@@ -219,11 +219,13 @@
                 if item.not_before_s <= moment.now_s
             ]
 
-    def standing(self, item: ItemState, moment: Moment) -> batchorder.Standing:
+    def priority(
+        self, item: ItemState, moment: Moment
+    ) -> batchorder.ItemPriority:
         """Returns the values that decide the item's place in the order."""
         done_s = item.done_s(moment.now_s)
         is_late = self._is_late(moment, done_s)
-        return batchorder.Standing(self.due_s, done_s, is_late)
+        return batchorder.ItemPriority(self.due_s, done_s, is_late)
 
     def take(self, item: ItemState) -> bool:
         """Marks a waiting item as running; false if it is not waiting."""
--- a/packages/gateway/gateway/members.py
+++ b/packages/gateway/gateway/members.py
@@ -345,7 +345,9 @@
         while not self._stopping.is_set():
             is_kept = self._keep_entry()
             after_failure = not self._read(after_failure) or not is_kept
-            self._stopping.wait(leases.LOOK_S * random.uniform(0.8, 1.0))
+            self._stopping.wait(
+                leases.CHECK_INTERVAL_S * random.uniform(0.8, 1.0)
+            )
 
     def _keep_entry(self) -> bool:
         asked_s = _boottime_s()
@@ -418,7 +420,7 @@
         self._domains = {row.vm: row.failure_domain for row in listed}
         eligible = leaders.candidates({row.vm: row.cores for row in listed})
         ranked = rendezvous.rank("leaders", eligible.vms)
-        self._leaders = ranked[: eligible.leaders]
+        self._leaders = ranked[: eligible.max_leaders]
         self._leader_ranks = {}
         _events.info("listed", vms=[row.vm for row in listed])
 
--- a/packages/gateway/gateway/placement.py
+++ b/packages/gateway/gateway/placement.py
@@ -183,13 +183,13 @@
         return self._take_without_leader(service, run, skipped)
 
     def take_batch(
-        self, service: str, standings: Sequence[batchorder.Standing]
+        self, service: str, priorities: Sequence[batchorder.ItemPriority]
     ) -> list[heldslots.Slot | None]:
         """Returns slots for batch items that online requests do not need.
 
         Args:
             service: The service.
-            standings: The standings of the ready items, the next item first.
+            priorities: The priorities of the ready items, the next item first.
 
         Returns:
             Slots for the first items, in order; `None` for an item whose
@@ -206,10 +206,10 @@
             # forever.
             if not self._claim_trial(service):
                 return []
-            skipped, standings = frozenset(), standings[:1]
+            skipped, priorities = frozenset(), priorities[:1]
         runs = tuple(
-            slotledger.BatchRun(self._new_run_name(), standing)
-            for standing in standings
+            slotledger.BatchRun(self._new_run_name(), priority)
+            for priority in priorities
         )
         message = slotmessages.TakeBatch(service, runs, tuple(skipped))
         answer = self._call_leader(service, message)
@@ -229,7 +229,7 @@
                 (service, slotmessages.Released(row.run, "unknown"))
             )
             return None
-        return self._slots.hold(service, row.run, upstream, row.standing)
+        return self._slots.hold(service, row.run, upstream, row.priority)
 
     def observed(self, slot: heldslots.Slot, service: str, busy: int) -> None:
         """Forwards an upstream's reported load to the service's leader.
@@ -463,8 +463,8 @@
             slotledger.ReportRow(
                 slot.run,
                 slot.upstream.instance,
-                slot.standing
-                and slot.standing.after(now_s - slot.held_since_s),
+                slot.priority
+                and slot.priority.after(now_s - slot.held_since_s),
                 slot.upstream.instance in silent,
             )
             for slot in self._slots.of_service(service)
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -58,7 +58,7 @@
     service: str
     state: jobstate.JobState
     item: jobstate.ItemState
-    standing: batchorder.Standing
+    priority: batchorder.ItemPriority
 
 
 class Runner:
@@ -239,7 +239,7 @@
         if service is None:
             return []
         return [
-            _ReadyItem(service, state, item, state.standing(item, moment))
+            _ReadyItem(service, state, item, state.priority(item, moment))
             for item in items
         ]
 
@@ -252,7 +252,7 @@
 
     def _start_items(self, service: str, rows: list["_ReadyItem"]) -> None:
         """Starts items in rank order while slots are free."""
-        rows.sort(key=lambda row: batchorder.rank(row.standing))
+        rows.sort(key=lambda row: batchorder.rank(row.priority))
         while rows:
             with self._lock:
                 count = min(_MAX_SLOTS_PER_REQUEST, _MAX_RUNS - self._run_count)
@@ -260,7 +260,7 @@
                 return
             batch, rows = rows[:count], rows[count:]
             slots = self._placement.take_batch(
-                service, [row.standing for row in batch]
+                service, [row.priority for row in batch]
             )
             for row, slot in zip(batch, slots, strict=False):
                 if slot is not None:
--- a/packages/gateway/gateway/slotleader.py
+++ b/packages/gateway/gateway/slotleader.py
@@ -90,9 +90,9 @@
                 excluded=message.excluded,
                 domain=message.domain,
             )
-        if isinstance(taken, slotledger.NoRoom):
+        if isinstance(taken, slotledger.Refusal):
             return slotmessages.Taken("", taken.retry_after_s, taken.occupancy)
-        for run in taken.yields:
+        for run in taken.preempted:
             # A run's name begins with the name of its VM.
             self._pending_yields.put((run.rsplit(".", 2)[0], run))
         return slotmessages.Taken(taken.instance, 0.0, None, taken.is_queued)
@@ -119,7 +119,7 @@
             for row in message.released:
                 ledger.release(row.run, now_s, outcome=row.outcome)
             for load in message.loads:
-                ledger.observe(load, now_s)
+                ledger.record_load(load, now_s)
         return slotmessages.Done()
 
     def _on_report(
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -284,7 +284,7 @@
             self._peers is None or self._members.own().vm in self._probers()
         )
         return storeprobing.pause_s(
-            lost_s, is_away=self._is_outage(), is_prober=is_prober
+            lost_s, is_outage=self._is_outage(), is_prober=is_prober
         )
 
     def _probers(self) -> tuple[str, ...]:
--- a/packages/gateway/gateway/timedcalls.py
+++ b/packages/gateway/gateway/timedcalls.py
@@ -31,7 +31,7 @@
         sent_s = time.monotonic()
         answer = self._peers.call(vm, message, self._times.timeout_s(vm))
         if answer.is_ok():
-            self._times.note(vm, time.monotonic() - sent_s)
+            self._times.record(vm, time.monotonic() - sent_s)
         else:
-            self._times.note_timeout(vm)
+            self._times.record_timeout(vm)
         return answer
--- a/tests/gateway/test_batchload.py
+++ b/tests/gateway/test_batchload.py
@@ -83,5 +83,5 @@
     assert leaving > staying
 
 
-def _no_order(standing: batchorder.Standing) -> batchorder.Rank:
-    return batchorder.Rank(standing.is_late, 0, 0.0)
+def _no_order(priority: batchorder.ItemPriority) -> batchorder.Rank:
+    return batchorder.Rank(priority.is_late, 0, 0.0)
--- a/tests/gateway/test_calltimes.py
+++ b/tests/gateway/test_calltimes.py
@@ -9,7 +9,7 @@
 def _after(took_s: list[float]) -> calltimes.CallTimes:
     times = calltimes.CallTimes()
     for row in took_s:
-        times.note("vm1", row)
+        times.record("vm1", row)
     return times
 
 
@@ -29,7 +29,7 @@
 def test_after_a_timeout_the_next_answer_may_be_slow() -> None:
     """Calls to a leader that is only busy must not fail again and again."""
     times = _after([0.003] * 20)
-    times.note_timeout("vm1")
+    times.record_timeout("vm1")
     assert times.timeout_s("vm1") >= 0.25
 
 
--- a/tests/gateway/test_jobstate.py
+++ b/tests/gateway/test_jobstate.py
@@ -25,7 +25,7 @@
 def _late(state: jobstate.JobState, now_s: float) -> list[bool]:
     moment = _at(now_s)
     return [
-        state.standing(item, moment).is_late for item in state.ready(moment)
+        state.priority(item, moment).is_late for item in state.ready(moment)
     ]
 
 
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -19,7 +19,7 @@
     vms = _vms([0.5] * 150 + [2.15] * 15)
     found = leaders.candidates(vms)
     assert set(found.vms) == {vm for vm, row in vms.items() if row > 1}
-    assert found.leaders >= 15
+    assert found.max_leaders >= 15
 
 
 def test_few_large_vms_do_not_lead_alone() -> None:
@@ -38,5 +38,5 @@
     vms = _vms(cores)
     found = leaders.candidates(vms)
     assert len(found.vms) >= min(len(vms), 8)
-    assert found.leaders >= min(len(found.vms), 16)
+    assert found.max_leaders >= min(len(found.vms), 16)
     assert found == leaders.candidates(vms)
--- a/tests/gateway/test_leases.py
+++ b/tests/gateway/test_leases.py
@@ -6,12 +6,12 @@
 
 # Timeout of a renewal.
 _TIMEOUT_S = 0.5
-# Checks come up to a fifth sooner than `LOOK_S`.
+# Checks come up to a fifth sooner than `CHECK_INTERVAL_S`.
 _MIN_INTERVAL_FACTOR = 0.8
 
 
 def _renewals_per_s(vms: int) -> float:
-    interval_s = leases.LOOK_S * _MIN_INTERVAL_FACTOR
+    interval_s = leases.CHECK_INTERVAL_S * _MIN_INTERVAL_FACTOR
     checks = 1
     while checks * interval_s < leases.renewal_age_s(vms):
         checks += 1
@@ -31,6 +31,6 @@
     Without time for another renewal the VM loses its lease, and its jobs with
     it.
     """
-    tried_s = leases.renewal_age_s(vms) + leases.LOOK_S
-    again_s = tried_s + _TIMEOUT_S + leases.LOOK_S
+    tried_s = leases.renewal_age_s(vms) + leases.CHECK_INTERVAL_S
+    again_s = tried_s + _TIMEOUT_S + leases.CHECK_INTERVAL_S
     assert again_s < leases.LEASE_S
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -44,7 +44,7 @@
     vm = scene.add_vm()
     placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
     gatewayscene.until(lambda: placed.take("llm", 0.3, ()).is_ok())
-    assert len(placed.take_batch("llm", [batchorder.Standing()] * 2)) == 2
+    assert len(placed.take_batch("llm", [batchorder.ItemPriority()] * 2)) == 2
     customer = records.Customer("school", (), 0, 0.001, 1)
     owned = vm.kernel.find(names.RATES, rates.Rates)
     while owned.take(customer).is_ok():
--- a/tests/gateway/test_outliers.py
+++ b/tests/gateway/test_outliers.py
@@ -116,7 +116,7 @@
             ledger.release(end[1], now_s, outcome="failed" if end[2] else "ok")
         run = f"vm.1.{step}"
         grant = ledger.take_online(run, "vm", now_s, target_s=0.3)
-        if isinstance(grant, slotledger.NoRoom):
+        if isinstance(grant, slotledger.Refusal):
             continue
         is_bad = grant.instance == failing_engine
         sent += 1
--- a/tests/gateway/test_slotledger.py
+++ b/tests/gateway/test_slotledger.py
@@ -36,21 +36,21 @@
     run: str,
     vm: str,
     now_s: float,
-    standing: batchorder.Standing | None = None,
+    priority: batchorder.ItemPriority | None = None,
     excluded: tuple[str, ...] = (),
 ) -> str:
     """Returns the engine that a batch item gets; empty if it gets none."""
-    batch_run = slotledger.BatchRun(run, standing or batchorder.Standing())
+    batch_run = slotledger.BatchRun(run, priority or batchorder.ItemPriority())
     engines = ledger.take_batch(vm, [batch_run], now_s, excluded)
     return engines[0] if engines else ""
 
 
-_LATE = batchorder.Standing(is_late=True)
+_LATE = batchorder.ItemPriority(is_late=True)
 
 
 def _online(
     ledger: slotledger.Ledger, run: str, now_s: float = 0.0
-) -> slotledger.Grant | slotledger.NoRoom:
+) -> slotledger.Grant | slotledger.Refusal:
     return ledger.take_online(run, "vm1", now_s, target_s=0.3)
 
 
@@ -66,7 +66,7 @@
     assert not _batch(ledger, "b3", "vm2", 1.0)
     grant = _online(ledger, "o1", 2.0)
     assert isinstance(grant, slotledger.Grant)
-    assert grant.yields == ("b2",)
+    assert grant.preempted == ("b2",)
     assert ledger.counts() == {"i-0": 2}
 
 
@@ -79,7 +79,7 @@
     ledger = _ledger(2)
     answers = [_online(ledger, f"o{number}") for number in range(40)]
     granted = [a for a in answers if isinstance(a, slotledger.Grant)]
-    refused = [a for a in answers if isinstance(a, slotledger.NoRoom)]
+    refused = [a for a in answers if isinstance(a, slotledger.Refusal)]
     assert 16 <= len(granted) <= 16 + 2 * 3
     assert refused
     assert all(0.1 < row.retry_after_s < 2.0 for row in refused)
@@ -107,7 +107,7 @@
     fill their queues, and every stream of the next seconds would be late.
     """
     ledger = _ledger(2)
-    ledger.observe(slotledger.Load("i-0", 8), 0.0)
+    ledger.record_load(slotledger.Load("i-0", 8), 0.0)
     for number in range(6):
         grant = _online(ledger, f"o{number}", 0.1)
         assert isinstance(grant, slotledger.Grant)
@@ -131,12 +131,12 @@
     ledger = _ledger(1, slots=2)
     rows = (
         slotledger.ReportRow("o1", "i-0"),
-        slotledger.ReportRow("b1", "i-0", batchorder.Standing()),
+        slotledger.ReportRow("b1", "i-0", batchorder.ItemPriority()),
     )
     ledger.report("vm1", rows, 0.0)
     grant = _online(ledger, "o2", 0.1)
     assert isinstance(grant, slotledger.Grant)
-    assert grant.yields == ("b1",)
+    assert grant.preempted == ("b1",)
 
 
 def test_runs_of_a_silent_vm_are_dropped() -> None:
@@ -154,7 +154,7 @@
     assert _batch(ledger, "in time", "vm2", 1.0)
     taken = _online(ledger, "o1", 2.0)
     assert isinstance(taken, slotledger.Grant)
-    assert taken.yields == ("late",)
+    assert taken.preempted == ("late",)
 
 
 def test_late_items_wait_while_items_in_time_of_any_vm_wait() -> None:
@@ -172,35 +172,39 @@
     """Each burst would take the slot of the item that was resumed last."""
     ledger = _ledger(1, slots=2)
     assert _batch(ledger, "new", "vm2", 0.0)
-    resumed = batchorder.Standing(done_s=4.0)
+    resumed = batchorder.ItemPriority(done_s=4.0)
     assert _batch(ledger, "resumed", "vm2", 0.5, resumed)
     taken = _online(ledger, "o1", 1.0)
     assert isinstance(taken, slotledger.Grant)
-    assert taken.yields == ("new",)
+    assert taken.preempted == ("new",)
 
 
 def test_the_item_due_last_is_preempted_first() -> None:
     ledger = _ledger(1, slots=2)
-    assert _batch(ledger, "soon", "vm2", 0.0, batchorder.Standing(10.0))
-    assert _batch(ledger, "later", "vm2", 0.0, batchorder.Standing(30.0, 3.0))
+    assert _batch(ledger, "soon", "vm2", 0.0, batchorder.ItemPriority(10.0))
+    assert _batch(
+        ledger, "later", "vm2", 0.0, batchorder.ItemPriority(30.0, 3.0)
+    )
     taken = _online(ledger, "o1", 1.0)
     assert isinstance(taken, slotledger.Grant)
-    assert taken.yields == ("later",)
+    assert taken.preempted == ("later",)
 
 
 def test_a_free_slot_is_left_to_another_vms_item_that_is_due_sooner() -> None:
     ledger = _ledger(1, slots=1)
     assert _batch(ledger, "b1", "vm1", 0.0)
-    assert not _batch(ledger, "soon", "vm1", 0.1, batchorder.Standing(10.0))
+    assert not _batch(ledger, "soon", "vm1", 0.1, batchorder.ItemPriority(10.0))
     ledger.release("b1", 0.15)
-    assert not _batch(ledger, "later", "vm2", 0.2, batchorder.Standing(30.0))
-    assert _batch(ledger, "soon", "vm1", 0.25, batchorder.Standing(10.0))
+    assert not _batch(
+        ledger, "later", "vm2", 0.2, batchorder.ItemPriority(30.0)
+    )
+    assert _batch(ledger, "soon", "vm1", 0.25, batchorder.ItemPriority(10.0))
 
 
 def test_a_vm_that_cannot_use_a_free_slot_does_not_block_others() -> None:
     """A VM is cut off from one engine; others would leave its slot free."""
     ledger = _ledger(2, slots=1)
-    soon, later = batchorder.Standing(10.0), batchorder.Standing(30.0)
+    soon, later = batchorder.ItemPriority(10.0), batchorder.ItemPriority(30.0)
     assert _batch(ledger, "b1", "vm1", 0.0)
     assert _batch(ledger, "b2", "vm1", 0.0)
     assert not _batch(ledger, "soon", "vm1", 0.1, soon, ("i-0",))
@@ -231,7 +235,7 @@
         if kind == "online":
             taken = ledger.take_online(run, "vm1", now_s, target_s=0.3)
             if isinstance(taken, slotledger.Grant):
-                for victim in taken.yields:
+                for victim in taken.preempted:
                     del held[victim]
                 held[run] = taken.instance
         elif kind == "batch":
@@ -249,7 +253,7 @@
                 slotledger.ReportRow(
                     name,
                     at,
-                    batchorder.Standing() if "batch" in name else None,
+                    batchorder.ItemPriority() if "batch" in name else None,
                 )
                 for name, at in held.items()
             ]
--- a/tests/gateway/test_streamtimeouts.py
+++ b/tests/gateway/test_streamtimeouts.py
@@ -15,20 +15,22 @@
         times_s: The time to the first event of each stream. A retry takes a
             time drawn from the same list.
     """
-    retries = streamtimeouts.StreamTimeouts()
+    timeouts = streamtimeouts.StreamTimeouts()
     draw = random.Random(1)
     given_up = on_time = 0
     for took_s in times_s:
-        retries.note_send()
-        silence_s = retries.first_event_s(_ROUTE, _TARGET_S, is_free=True)
+        timeouts.record_send()
+        silence_s = timeouts.first_event_timeout_s(
+            _ROUTE, _TARGET_S, starts_at_once=True
+        )
         if took_s > silence_s:
-            retries.note_given_up()
+            timeouts.record_given_up()
             given_up += 1
             second_s = draw.choice(times_s)
-            retries.note_first_event(_ROUTE, second_s)
+            timeouts.record_first_event(_ROUTE, second_s)
             on_time += silence_s + second_s <= _TARGET_S
             continue
-        retries.note_first_event(_ROUTE, took_s)
+        timeouts.record_first_event(_ROUTE, took_s)
         on_time += took_s <= _TARGET_S
     return given_up, on_time
 
@@ -55,9 +57,12 @@
 
 
 def test_a_stream_in_an_engines_queue_is_not_given_up_early() -> None:
-    retries = streamtimeouts.StreamTimeouts()
-    retries.note_first_event(_ROUTE, 0.05)
-    assert retries.first_event_s(_ROUTE, _TARGET_S, is_free=False) >= 0.9
+    timeouts = streamtimeouts.StreamTimeouts()
+    timeouts.record_first_event(_ROUTE, 0.05)
+    assert (
+        timeouts.first_event_timeout_s(_ROUTE, _TARGET_S, starts_at_once=False)
+        >= 0.9
+    )
 
 
 def test_streams_with_long_prompts_stay_where_they_are_read() -> None:
@@ -73,31 +78,45 @@
 
 def test_without_past_first_events_no_stream_is_given_up_early() -> None:
     """A VM that has just started has a budget; its first streams are slow."""
-    retries = streamtimeouts.StreamTimeouts()
-    assert retries.first_event_s(_ROUTE, _TARGET_S, is_free=True) >= 0.9
+    timeouts = streamtimeouts.StreamTimeouts()
+    assert (
+        timeouts.first_event_timeout_s(_ROUTE, _TARGET_S, starts_at_once=True)
+        >= 0.9
+    )
 
 
 def test_first_event_times_are_kept_per_route() -> None:
     """Times of short prompts must not limit a route of long prompts."""
-    retries = streamtimeouts.StreamTimeouts()
+    timeouts = streamtimeouts.StreamTimeouts()
     for _ in range(20):
-        retries.note_first_event("short", 0.05)
-        retries.note_first_event("long", 0.25)
-    assert retries.first_event_s("short", _TARGET_S, is_free=True) < 0.2
-    assert retries.first_event_s("long", _TARGET_S, is_free=True) > 0.25
+        timeouts.record_first_event("short", 0.05)
+        timeouts.record_first_event("long", 0.25)
+    assert (
+        timeouts.first_event_timeout_s("short", _TARGET_S, starts_at_once=True)
+        < 0.2
+    )
+    assert (
+        timeouts.first_event_timeout_s("long", _TARGET_S, starts_at_once=True)
+        > 0.25
+    )
 
 
 def test_the_number_of_routes_is_bounded() -> None:
-    retries = streamtimeouts.StreamTimeouts()
+    timeouts = streamtimeouts.StreamTimeouts()
     for number in range(10_000):
-        retries.note_first_event(f"route-{number}", 0.05)
-    assert retries.first_event_s("route-0", _TARGET_S, is_free=True) >= 0.9
+        timeouts.record_first_event(f"route-{number}", 0.05)
+    assert (
+        timeouts.first_event_timeout_s(
+            "route-0", _TARGET_S, starts_at_once=True
+        )
+        >= 0.9
+    )
 
 
 def test_pauses_share_the_budget() -> None:
     """All engines freeze for a moment; the budget limits the retries."""
-    retries = streamtimeouts.StreamTimeouts()
-    assert retries.gap_s(0.3, _TARGET_S) < 0.3
+    timeouts = streamtimeouts.StreamTimeouts()
+    assert timeouts.gap_timeout_s(0.3, _TARGET_S) < 0.3
     for _ in range(3):
-        retries.note_given_up()
-    assert retries.gap_s(0.3, _TARGET_S) >= 0.9
+        timeouts.record_given_up()
+    assert timeouts.gap_timeout_s(0.3, _TARGET_S) >= 0.9
--- a/tests/gateway/test_vms.py
+++ b/tests/gateway/test_vms.py
@@ -270,7 +270,7 @@
     _wait_until_listed(*vms)
     first = vms[0].kernel.find(names.PLACEMENT, placement.Placement)
     second = vms[1].kernel.find(names.PLACEMENT, placement.Placement)
-    batch = first.take_batch("llm", [batchorder.Standing()] * 8)
+    batch = first.take_batch("llm", [batchorder.ItemPriority()] * 8)
     slots = [slot for slot in batch if slot is not None]
     assert len(slots) == 8
     taken = second.take("llm", 0.3, ())
