--- a/packages/gateway/gateway/assembly.py
+++ b/packages/gateway/gateway/assembly.py
@@ -54,7 +54,7 @@
     kernel = kernel_lib.Kernel()
     add = kernel.register
     kernel.offer(names.DIALECT, dialect)
-    store_path = storepath.StorePath(kernel, store)
+    store_path = storepath.FailoverStore(kernel, store)
     kernel.offer(names.STORE, store_path)
     add(names.CONFIGURATION, configuration.Feed(kernel))
     add(names.UPSTREAM_LIST, upstreamlist.UpstreamList(kernel))
@@ -67,7 +67,7 @@
     add(names.JOB_LISTING, joblisting.JobListing(kernel))
     add(names.JOB_DIRECTORY, jobdirectory.JobDirectory(kernel))
     add("reading", storereaders.Reading(kernel))
-    add(names.RATES, rates.Rates(kernel, settings))
+    add(names.RATES, rates.RateLimiter(kernel, settings))
     add(names.PLACEMENT, placement.Placement(kernel, settings))
     add(services.UPSTREAMS, upstreams.HttpUpstreams(kernel, settings))
     add(names.JOBS, jobs.Jobs(kernel, settings))
--- a/packages/gateway/gateway/configuration.py
+++ b/packages/gateway/gateway/configuration.py
@@ -29,7 +29,7 @@
 _IDLE_CHECK_S = 0.25
 
 
-class InForce:
+class ActiveConfiguration:
     """One version of the configuration, indexed for look-ups by requests.
 
     Attributes:
@@ -102,7 +102,7 @@
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         self._lock = threading.Lock()
-        self._in_force: InForce | None = None
+        self._active: ActiveConfiguration | None = None
         self._callbacks: list[Callable[[], None]] = []
         self._retire_callbacks: list[Callable[[str], None]] = []
         self._stopping = threading.Event()
@@ -125,7 +125,7 @@
 
     def dump(self) -> Any:
         """Returns the version in force and for how long it has been so."""
-        held = self._in_force
+        held = self._active
         if held is None:
             return {"version": 0}
         age_s = time.monotonic() - held.since_s
@@ -139,7 +139,7 @@
         after three seconds and accepted a withdrawn key until then. Compressed
         it has 41 kB.
         """
-        held = self._in_force
+        held = self._active
         return Told(0, b"") if held is None else Told(held.version, held.packed)
 
     def apply_message(self, message: Told, vm: str) -> bool:
@@ -157,9 +157,9 @@
             return False
         return self.apply(value, vm)
 
-    def current(self) -> InForce | None:
+    def current(self) -> ActiveConfiguration | None:
         """Returns the configuration in force; `None` before there is any."""
-        return self._in_force
+        return self._active
 
     def watch_while(self, may_watch: Callable[[], bool]) -> None:
         """Sets the condition under which this VM watches the store.
@@ -176,7 +176,7 @@
         """Registers a callback that runs after each change."""
         self._callbacks.append(callback)
 
-    def on_retire(self, callback: Callable[[str], None]) -> None:
+    def on_retire_request(self, callback: Callable[[str], None]) -> None:
         """Registers a callback for each VM that operators want to retire."""
         self._retire_callbacks.append(callback)
 
@@ -196,12 +196,12 @@
             _events.warning("refused", source=source, why=str(error))
             return False
         with self._lock:
-            held = self._in_force
+            held = self._active
             # A late answer or a peer that is behind may bring an older
             # version, with which a withdrawn key would work again.
             if held is not None and held.version >= configuration.version:
                 return True
-            self._in_force = InForce(configuration, value)
+            self._active = ActiveConfiguration(configuration, value)
         _events.info(
             "applied",
             version=configuration.version,
@@ -227,7 +227,7 @@
             pause_s = min(pause_s * 2, _MAX_RETRY_S)
 
     def _should_watch(self) -> bool:
-        return self._in_force is None or self._may_watch()
+        return self._active is None or self._may_watch()
 
     def _list_and_watch(self) -> bool:
         """Lists the operators' keys, then watches them until a call fails.
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -177,7 +177,7 @@
                 self._answer = sent.ok_value.answer
                 load = sent.ok_value.head.load
                 if load is not None:
-                    self._placement.observed(
+                    self._placement.report_load(
                         slot, self._request.service, load.running + load.waiting
                     )
                 return sent.ok_value
@@ -204,7 +204,7 @@
         if self._route.kind != "streaming":
             return min(remaining_s, streamtimeouts.default_timeout_s(target_s))
         first_s = self._stream_timeouts.first_event_timeout_s(
-            self._route.name, target_s, starts_at_once=slot.is_free
+            self._route.name, target_s, starts_at_once=slot.starts_at_once
         )
         return min(remaining_s, first_s)
 
@@ -336,7 +336,7 @@
         except caller_calls.BrokenAnswerError:
             return self._refuse()
 
-        self._note_first_event()
+        self._record_first_event()
 
         def events() -> Iterator[bytes]:
             yield first
@@ -345,9 +345,9 @@
         body = caller_calls.Body(events(), self._release)
         return httpd.Response(opened.answer.status, headers, body)
 
-    def _note_first_event(self) -> None:
-        self._metrics.first_event(self._call.age_s())
-        if self._slot is not None and self._slot.is_free:
+    def _record_first_event(self) -> None:
+        self._metrics.observe_first_event(self._call.age_s())
+        if self._slot is not None and self._slot.starts_at_once:
             took_s = time.monotonic() - self._sent_s
             self._stream_timeouts.record_first_event(self._route.name, took_s)
 
@@ -368,7 +368,7 @@
                     error = piece.err_value
                     break
                 whole_events = splitter.feed(piece.ok_value)
-                self._mark_upstream_heard()
+                self._record_upstream_data()
                 if whole_events:
                     self._limit_gap(current)
                     event_id = eventstream.last_event_id(whole_events)
@@ -396,9 +396,9 @@
         )
         opened.answer.allow_silence(gap_s)
 
-    def _mark_upstream_heard(self) -> None:
+    def _record_upstream_data(self) -> None:
         if self._slot is not None:
-            self._placement.health.heard(self._slot.upstream.instance)
+            self._placement.health.record_data(self._slot.upstream.instance)
 
     def _close_answer(self) -> None:
         answer, self._answer = self._answer, None
@@ -465,7 +465,7 @@
             return refusals.Refusal(502, "the upstream's answer broke off")
         if self._no_slot is not None:
             return refusals.Refusal(
-                503, self._no_slot.why, self._no_slot.retry_after_s
+                503, self._no_slot.reason, self._no_slot.retry_after_s
             )
         return refusals.Refusal(503, "no upstream took it", _BUSY_RETRY_S)
 
--- a/packages/gateway/gateway/front.py
+++ b/packages/gateway/gateway/front.py
@@ -73,7 +73,7 @@
             names.UPSTREAM_LIST, upstreamlist.UpstreamList
         )
         self._metrics = find(names.METRICS, metrics.Metrics)
-        self._rates = find(names.RATES, rates.Rates)
+        self._rates = find(names.RATES, rates.RateLimiter)
         self._placement = find(names.PLACEMENT, placement.Placement)
         self._forwarder = find(names.FORWARDER, forwarding.Forwarder)
         self._jobs = jobfront.JobFront(self._kernel)
@@ -105,10 +105,10 @@
         applies. If a shorter one applied at once, callers that still use the
         previous value would send on connections that are being closed.
         """
-        in_force = self._feed.current()
-        if in_force is None:
+        active = self._feed.current()
+        if active is None:
             return
-        bounds = in_force.configuration.bounds
+        bounds = active.configuration.bounds
         previous_s, self._idle_s = self._idle_s, bounds.idle_timeout_s
         self._server.bound(
             bounds.max_header_bytes, max(previous_s, bounds.idle_timeout_s)
@@ -160,7 +160,7 @@
             self._state == "serving"
             and self._feed.current() is not None
             and self._upstream_list.is_known()
-            and not self._placement.is_cut_off()
+            and not self._placement.is_partitioned()
         )
 
     def _serve_ready(self, request: httpd.Request) -> httpd.Response:
@@ -175,8 +175,8 @@
         except Exception:  # noqa: BLE001 - the caller gets a 500.
             _log.exception("Unhandled exception while serving a request.")
             response = refusals.refusal(_INTERNAL_ERROR)
-        self._metrics.answered(response.status)
-        if self._state == "serving" and not self._placement.is_cut_off():
+        self._metrics.count_answer(response.status)
+        if self._state == "serving" and not self._placement.is_partitioned():
             return response
         # On a kept connection the caller's next request would reach a VM that
         # is stopping or cannot serve it.
@@ -184,8 +184,8 @@
         return response._replace(headers=headers)
 
     def _respond(self, request: httpd.Request) -> httpd.Response:
-        in_force = self._feed.current()
-        if in_force is None:
+        active = self._feed.current()
+        if active is None:
             return refusals.refusal(_NO_CONFIGURATION)
         try:
             head = self._dialect.caller_head(request.headers)
@@ -195,48 +195,46 @@
         except dialect_lib.BadInputError as error:
             return refusals.refusal(refusals.Refusal(400, str(error)))
         host = request.headers.get("host", "")
-        if job_call is not None and in_force.has_host(host):
-            return self._serve_job_call(in_force, head, job_call)
-        route = in_force.route(host, request.path)
+        if job_call is not None and active.has_host(host):
+            return self._serve_job_call(active, head, job_call)
+        route = active.route(host, request.path)
         if route is None:
             _events.warning(
                 "no_route",
                 request=head.attempt,
                 host=host,
                 path=request.path,
-                version=in_force.version,
+                version=active.version,
             )
             return refusals.refusal(refusals.Refusal(404, "no such route"))
-        customer = self._authenticate(in_force, head, route)
+        customer = self._authenticate(active, head, route)
         if isinstance(customer, refusals.Refusal):
             _events.warning(
-                "unauthorized", request=head.attempt, version=in_force.version
+                "unauthorized", request=head.attempt, version=active.version
             )
             return refusals.refusal(customer)
-        return self._serve_route(request, in_force, head, route, customer)
+        return self._serve_route(request, active, head, route, customer)
 
     def _authenticate(
         self,
-        in_force: configuration.InForce,
+        active: configuration.ActiveConfiguration,
         head: dialect_lib.CallerHead,
         route: records.Route | None,
     ) -> records.Customer | refusals.Refusal | None:
-        if not in_force.has_customers or (
-            route is not None and route.is_public
-        ):
+        if not active.has_customers or (route is not None and route.is_public):
             return None
-        customer = in_force.customer_of(head.key) if head.key else None
+        customer = active.customer_of(head.key) if head.key else None
         if customer is None:
             return refusals.Refusal(401, "no such key")
         return customer
 
     def _serve_job_call(
         self,
-        in_force: configuration.InForce,
+        active: configuration.ActiveConfiguration,
         head: dialect_lib.CallerHead,
         job_call: dialect_lib.JobCall,
     ) -> httpd.Response:
-        customer = self._authenticate(in_force, head, None)
+        customer = self._authenticate(active, head, None)
         if isinstance(customer, refusals.Refusal):
             return refusals.refusal(customer)
         name = "" if customer is None else customer.name
@@ -250,7 +248,7 @@
     def _serve_route(
         self,
         request: httpd.Request,
-        in_force: configuration.InForce,
+        active: configuration.ActiveConfiguration,
         head: dialect_lib.CallerHead,
         route: records.Route,
         customer: records.Customer | None,
@@ -265,7 +263,7 @@
         self._open_calls.add(call)
         try:
             response = self._read_body_and_dispatch(
-                request, in_force, head, route, customer, call
+                request, active, head, route, customer, call
             )
         except BaseException:
             self._open_calls.remove(call)
@@ -275,14 +273,14 @@
     def _read_body_and_dispatch(
         self,
         request: httpd.Request,
-        in_force: configuration.InForce,
+        active: configuration.ActiveConfiguration,
         head: dialect_lib.CallerHead,
         route: records.Route,
         customer: records.Customer | None,
         call: opencalls.Call,
     ) -> httpd.Response:
         body = bodies.read_whole(
-            request, in_force.configuration.bounds.max_body_bytes
+            request, active.configuration.bounds.max_body_bytes
         )
         name = "" if customer is None else customer.name
         if isinstance(body, result.Err):
@@ -404,7 +402,7 @@
         outcome = call.reason or (
             "ok" if status < _FIRST_ERROR_STATUS else "refused"
         )
-        self._metrics.ended(route.kind, outcome, call.age_s())
+        self._metrics.observe_request(route.kind, outcome, call.age_s())
         if call.reason:
             _events.warning(
                 "ended",
--- a/packages/gateway/gateway/health.py
+++ b/packages/gateway/gateway/health.py
@@ -29,7 +29,7 @@
         self._failure_counts: dict[str, int] = {}
         self._received_s: dict[str, float] = {}
 
-    def failed(self, instance: str, why: str) -> None:
+    def record_failure(self, instance: str, why: str) -> None:
         """Records a failed request and avoids the upstream for some time.
 
         Args:
@@ -43,7 +43,7 @@
             self._avoided_until_s[instance] = time.monotonic() + avoid_s
         _events.warning("avoided", upstream=instance, for_s=avoid_s, why=why)
 
-    def worked(self, instance: str) -> None:
+    def record_success(self, instance: str) -> None:
         """Records that an upstream answered, which ends its avoidance."""
         if instance not in self._failure_counts:
             return
@@ -52,7 +52,7 @@
             self._avoided_until_s.pop(instance, None)
         _events.info("back", upstream=instance)
 
-    def heard(self, instance: str) -> None:
+    def record_data(self, instance: str) -> None:
         """Records that an upstream has just sent data."""
         self._received_s[instance] = time.monotonic()
 
--- a/packages/gateway/gateway/heldslots.py
+++ b/packages/gateway/gateway/heldslots.py
@@ -16,9 +16,9 @@
         run: The name of the run that uses the slot.
         upstream: The upstream.
         priority: The batch item's priority; `None` for an online request.
-        is_free: Whether the run begins at once, according to the service's
-            leader; false if that is not known.
-        has_yielded: Whether the slot was preempted.
+        starts_at_once: Whether the run begins at once, according to the
+            service's leader; false if that is not known.
+        is_preempted: Whether the slot was preempted.
         outcome: How the run ended, as far as known.
         held_since_s: When the slot was taken, by the monotonic clock.
     """
@@ -33,8 +33,8 @@
         self.run = run
         self.upstream = upstream
         self.priority = priority
-        self.is_free = False
-        self.has_yielded = False
+        self.starts_at_once = False
+        self.is_preempted = False
         self.outcome: slotledger.Outcome = "unknown"
         self.held_since_s = time.monotonic()
         self._on_release = on_release
@@ -47,15 +47,15 @@
         """Whether a batch item uses the slot."""
         return self.priority is not None
 
-    def on_yield(self, cancel: Callable[[], None]) -> None:
+    def set_cancel_callback(self, cancel: Callable[[], None]) -> None:
         """Sets the callback that ends the run when the slot is preempted.
 
         If it is already preempted, `cancel` is called at once.
         """
         with self._lock:
             self._cancel = cancel
-            has_yielded = self.has_yielded
-        if has_yielded:
+            is_preempted = self.is_preempted
+        if is_preempted:
             cancel()
 
     def preempt(self) -> None:
@@ -64,7 +64,7 @@
         Called from a thread other than the run's own.
         """
         with self._lock:
-            self.has_yielded = True
+            self.is_preempted = True
             cancel = self._cancel
         if cancel is not None:
             cancel()
--- a/packages/gateway/gateway/joblisting.py
+++ b/packages/gateway/gateway/joblisting.py
@@ -15,7 +15,7 @@
 _READ_TIMEOUT_S = 1.0
 # How old a listing from a reader VM may be before this VM reads the store
 # itself. A reader reads each second, or retries for another second.
-_MAX_FOLLOWED_AGE_S = 2.0
+_MAX_RECEIVED_AGE_S = 2.0
 
 
 class ClaimRow(NamedTuple):
@@ -50,12 +50,12 @@
     """All jobs that have items to run.
 
     Attributes:
-        opened: The ids of all jobs that were open when they were read.
+        open_jobs: The ids of all jobs that were open when they were read.
         claims: The claims of jobs, read after the ids.
         backlogs: The backlogs of all customers, read with the ids.
     """
 
-    opened: tuple[str, ...]
+    open_jobs: tuple[str, ...]
     claims: tuple[ClaimRow, ...]
     backlogs: tuple[BacklogRow, ...] = ()
 
@@ -63,10 +63,10 @@
         """Returns the VM that has claimed each job, by the job's id."""
         return {row.job: row.vm for row in self.claims}
 
-    def keyed(self) -> dict[str, str | ClaimRow | BacklogRow]:
+    def rows_by_key(self) -> dict[str, str | ClaimRow | BacklogRow]:
         """Returns all rows, each under a unique key."""
         rows: dict[str, str | ClaimRow | BacklogRow] = {}
-        rows.update((f"open {job}", job) for job in self.opened)
+        rows.update((f"open {job}", job) for job in self.open_jobs)
         rows.update((f"claim {row.job}", row) for row in self.claims)
         rows.update((f"backlog {row.name}", row) for row in self.backlogs)
         return rows
@@ -76,9 +76,9 @@
         return [row for row in self.claims if row.vm == vm]
 
 
-def job_rows(keyed: Mapping[str, Any]) -> JobRows:
-    """Rebuilds `JobRows` from the result of `JobRows.keyed`, by key order."""
-    rows = [keyed[key] for key in sorted(keyed)]
+def from_rows_by_key(rows_by_key: Mapping[str, Any]) -> JobRows:
+    """Rebuilds `JobRows` from `JobRows.rows_by_key`, in key order."""
+    rows = [rows_by_key[key] for key in sorted(rows_by_key)]
     return JobRows(
         tuple(row for row in rows if isinstance(row, str)),
         tuple(row for row in rows if isinstance(row, ClaimRow)),
@@ -110,7 +110,7 @@
     def dump(self) -> Any:
         """Returns the number of open jobs and the age of the listing."""
         return {
-            "open": len(self._rows.opened),
+            "open": len(self._rows.open_jobs),
             "age_s": round(self.age_s(), 3),
         }
 
@@ -120,7 +120,7 @@
             return -1.0
         return time.monotonic() - self._read_at_s
 
-    def all(self) -> tuple[JobRows, int]:
+    def snapshot(self) -> tuple[JobRows, int]:
         """Returns the rows and their version, which each change increments."""
         with self._lock:
             return self._rows, self._version
@@ -132,7 +132,7 @@
                 return row
         return None
 
-    def follow(self, rows: JobRows | None, age_s: float) -> None:
+    def apply_received(self, rows: JobRows | None, age_s: float) -> None:
         """Takes over the listing of a reader VM.
 
         Args:
@@ -142,17 +142,17 @@
         self._update(rows, time.monotonic() - age_s)
         self._is_from_reader = True
 
-    def is_told(self) -> bool:
+    def is_received(self) -> bool:
         """Returns whether the rows come from a reader VM and are recent."""
-        return self._is_from_reader and self.age_s() <= _MAX_FOLLOWED_AGE_S
+        return self._is_from_reader and self.age_s() <= _MAX_RECEIVED_AGE_S
 
-    def latest(self) -> JobRows | None:
+    def rows_or_read(self) -> JobRows | None:
         """Returns a reader's recent rows, or else reads them from the store.
 
         Returns:
             The rows; `None` if the store cannot be read either.
         """
-        if self.is_told():
+        if self.is_received():
             return self._rows
         return self.read()
 
--- a/packages/gateway/gateway/members.py
+++ b/packages/gateway/gateway/members.py
@@ -33,7 +33,7 @@
 _MAX_MISSES = 2
 # A failure domain counts as cut off for this long after the last failed ping.
 # Its upstreams that have lost the store too expire there before that.
-LOST_S = 5.0
+DOMAIN_LOST_S = 5.0
 # A VM that did not answer is not chosen as a leader for this long.
 SUSPECT_S = 1.5
 _MAX_SUSPECTS = 1000
@@ -174,7 +174,7 @@
         """
         return self._reachable(self._ranked(key)) or self.rank(key)
 
-    def leaders_apart(self, key: str, count: int) -> list[str]:
+    def leader_with_backups(self, key: str, count: int) -> list[str]:
         """Returns a key's leader and backups in other failure domains.
 
         A backup in the leader's failure domain would be cut off together with
@@ -189,7 +189,7 @@
         others = [vm for vm in ranked[1:] if self.domain(vm) != domain]
         return [ranked[0], *(others or ranked[1:])[: count - 1]]
 
-    def first(self, key: str) -> str:
+    def preferred_leader(self, key: str) -> str:
         """Returns the VM that leads a key while all VMs reach each other."""
         return self._ranked(key)[0]
 
@@ -202,7 +202,7 @@
 
     def _reachable(self, vms: list[str]) -> list[str]:
         now_s = time.monotonic()
-        lost = self.lost_domains()
+        lost = self.unreachable_domains()
         return [
             vm
             for vm in vms
@@ -213,17 +213,17 @@
             )
         ]
 
-    def lost_domains(self) -> frozenset[str]:
+    def unreachable_domains(self) -> frozenset[str]:
         """Returns the failure domains that count as cut off.
 
-        This state expires after `LOST_S` unless further pings fail. When all
-        VMs of a domain are removed, pings to them fail at first and are then
-        no longer sent; without the expiry the domain would count as cut off
-        for ever.
+        This state expires after `DOMAIN_LOST_S` unless further pings fail.
+        When all VMs of a domain are removed, pings to them fail at first and
+        are then no longer sent; without the expiry the domain would count as
+        cut off for ever.
         """
         if not any(self._missed_pings.values()):
             return frozenset()
-        since_s = time.monotonic() - LOST_S
+        since_s = time.monotonic() - DOMAIN_LOST_S
         return frozenset(
             domain
             for domain, missed in self._missed_pings.items()
@@ -278,7 +278,7 @@
         VMs in failure domains that are cut off do not count, but this VM
         always does.
         """
-        rows, lost = self._rows, self.lost_domains()
+        rows, lost = self._rows, self.unreachable_domains()
         if not lost:
             return 1.0
         reached = sum(
@@ -287,7 +287,7 @@
         )
         return reached / len(rows)
 
-    def note_ping(self, domain: str, vm: str, was_answered: bool) -> None:
+    def record_ping(self, domain: str, vm: str, was_answered: bool) -> None:
         """Records whether a VM of a failure domain answered a ping."""
         if not was_answered:
             self._mark_suspected(vm)
@@ -307,15 +307,15 @@
             return -1.0
         return time.monotonic() - self._read_s
 
-    def all(self) -> tuple[tuple[core_records.Vm, ...], int]:
+    def snapshot(self) -> tuple[tuple[core_records.Vm, ...], int]:
         """Returns all VMs and the list's version, which grows with each change.
 
-        The version is read before the rows, see `UpstreamList.all`.
+        The version is read before the rows, see `UpstreamList.snapshot`.
         """
         version = self._version
         return self._rows, version
 
-    def follow(
+    def apply_received(
         self, rows: tuple[core_records.Vm, ...] | None, age_s: float
     ) -> None:
         """Stores a list that a reader sent, to be applied by the next update.
@@ -343,13 +343,13 @@
         # only one.
         after_failure = not self._read(False)
         while not self._stopping.is_set():
-            is_kept = self._keep_entry()
+            is_kept = self._renew_or_register()
             after_failure = not self._read(after_failure) or not is_kept
             self._stopping.wait(
                 leases.CHECK_INTERVAL_S * random.uniform(0.8, 1.0)
             )
 
-    def _keep_entry(self) -> bool:
+    def _renew_or_register(self) -> bool:
         asked_s = _boottime_s()
         age_s = asked_s - self._renewed_s
         if self._lease and age_s < leases.renewal_age_s(self.count()):
--- a/packages/gateway/gateway/metrics.py
+++ b/packages/gateway/gateway/metrics.py
@@ -59,7 +59,7 @@
             value=self._list.age_s(),
         )
         yield self._slots_held()
-        rates_ = self._kernel.find(names.RATES, rates.Rates)
+        rates_ = self._kernel.find(names.RATES, rates.RateLimiter)
         yield prometheus_core.CounterMetricFamily(
             "bulrushdeal_over_rate",
             "Requests refused by this VM as an owner of customers' rates.",
@@ -142,11 +142,11 @@
         """See `kernel.Service`."""
         return {"address": self._address}
 
-    def answered(self, status: int) -> None:
+    def count_answer(self, status: int) -> None:
         """Counts an answer by its status."""
         self._answers.labels(str(status)).inc()
 
-    def ended(self, kind: str, outcome: str, took_s: float) -> None:
+    def observe_request(self, kind: str, outcome: str, took_s: float) -> None:
         """Records the duration of a request that has ended.
 
         Args:
@@ -156,7 +156,7 @@
         """
         self._request_s.labels(kind, outcome).observe(took_s)
 
-    def first_event(self, took_s: float) -> None:
+    def observe_first_event(self, took_s: float) -> None:
         """Records the time from a request to its stream's first event."""
         self._first_event_s.observe(took_s)
 
--- a/packages/gateway/gateway/pings.py
+++ b/packages/gateway/gateway/pings.py
@@ -161,7 +161,7 @@
 
     def _ping(self, domain: str, vm: str) -> None:
         answer = self._peers.call(vm, Ping(self._version()), _PING_TIMEOUT_S)
-        self._members.note_ping(domain, vm, answer.is_ok())
+        self._members.record_ping(domain, vm, answer.is_ok())
         if answer.is_ok() and answer.unwrap().version > self._version():
             self._fetch_source = vm
 
--- a/packages/gateway/gateway/placement.py
+++ b/packages/gateway/gateway/placement.py
@@ -66,12 +66,12 @@
 
     Attributes:
         retry_after_s: Seconds until the caller should retry.
-        why: The reason, for the log.
+        reason: The reason, for the log.
         occupancy: How full the engines were, if that is the reason.
     """
 
     retry_after_s: float
-    why: str
+    reason: str
     occupancy: slotledger.Occupancy | None = None
 
 
@@ -158,7 +158,7 @@
             # All of them are known not to answer, so waiting is no use.
             if not self._claim_trial(service):
                 retry_s = _NO_UPSTREAM_RETRY_S
-                if self.is_cut_off():
+                if self.is_partitioned():
                     retry_s = _CUT_OFF_RETRY_S
                 return result.Err(NoSlot(retry_s, "no upstream is reachable"))
             skipped = tried
@@ -175,7 +175,7 @@
             upstream = self._find_usable(service, taken.instance)
             if upstream is not None:
                 slot = self._slots.hold(service, run, upstream)
-                slot.is_free = not taken.is_queued
+                slot.starts_at_once = not taken.is_queued
                 return result.Ok(slot)
             self._updates.put((service, slotmessages.Released(run, "unknown")))
             skipped = skipped | {taken.instance}
@@ -231,7 +231,9 @@
             return None
         return self._slots.hold(service, row.run, upstream, row.priority)
 
-    def observed(self, slot: heldslots.Slot, service: str, busy: int) -> None:
+    def report_load(
+        self, slot: heldslots.Slot, service: str, busy: int
+    ) -> None:
         """Forwards an upstream's reported load to the service's leader.
 
         Args:
@@ -243,7 +245,7 @@
             load = slotledger.Load(slot.upstream.instance, busy)
             self._updates.put((service, load))
 
-    def yield_all(self) -> None:
+    def preempt_all_batch(self) -> None:
         """Preempts all batch runs of this VM, before it stops."""
         for slot in self._slots.all():
             if slot.is_batch:
@@ -253,7 +255,7 @@
         """Returns whether a usable upstream of a service is listed."""
         return bool(self._upstreams.usable(service))
 
-    def is_cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Returns whether a network partition keeps this VM from a service.
 
         This is the case when this VM is on the smaller side and all upstreams
@@ -261,7 +263,7 @@
         """
         if self._members.reached_fraction() >= _MIN_REACHED_FRACTION:
             return False
-        held, lost = self._feed.current(), self._members.lost_domains()
+        held, lost = self._feed.current(), self._members.unreachable_domains()
         if held is None:
             return False
         return any(
@@ -286,7 +288,10 @@
         self, service: str, excluded: Iterable[str]
     ) -> frozenset[str]:
         skipped = frozenset(excluded)
-        avoided, lost = self.health.avoided(), self._members.lost_domains()
+        avoided, lost = (
+            self.health.avoided(),
+            self._members.unreachable_domains(),
+        )
         rows = self._upstreams.usable(service)
         # Requests into a failure domain that is cut off are lost. If only
         # the domain's VMs have stopped, its upstreams still send data and
@@ -381,7 +386,7 @@
         return answer if isinstance(answer, slotmessages.Taken) else None
 
     def _call_leader(self, service: str, message: Any) -> Any | None:
-        for vm in self._members.leaders_apart(service, _MAX_LEADERS):
+        for vm in self._members.leader_with_backups(service, _MAX_LEADERS):
             if self._last_leaders.get(service) != vm:
                 # A new leader needs this VM's report before it grants
                 # anything: it would count running requests as free slots
--- a/packages/gateway/gateway/rates.py
+++ b/packages/gateway/gateway/rates.py
@@ -69,7 +69,7 @@
     tokens: float
 
 
-class Rates:
+class RateLimiter:
     """Takes tokens from buckets' owners and owns some customers' buckets."""
 
     def __init__(
@@ -148,7 +148,9 @@
         VM first, which may still reach the owner.
         """
         ranked = self._members.leaders(key)[:_MAX_OWNERS]
-        is_stand_in = ranked[0] == self._vm != self._members.first(key)
+        is_stand_in = (
+            ranked[0] == self._vm != self._members.preferred_leader(key)
+        )
         return ranked[::-1] if is_stand_in else ranked
 
     def _to_result(self, spent: Spent) -> result.Result[None, tokens.Denied]:
@@ -211,10 +213,10 @@
         return spent
 
     def _role(self, key: str) -> tokens.Role:
-        owner = self._members.first(key)
+        owner = self._members.preferred_leader(key)
         if owner == self._vm:
             return "owner"
-        if self._members.domain(owner) in self._members.lost_domains():
+        if self._members.domain(owner) in self._members.unreachable_domains():
             return "stand_in"
         return "doubtful"
 
--- a/packages/gateway/gateway/resultwriter.py
+++ b/packages/gateway/gateway/resultwriter.py
@@ -97,7 +97,7 @@
             made.ok_value, int
         )
         if is_written or self._is_stored(key, row):
-            self._note_written(state, item, row, is_last)
+            self._record_written(state, item, row, is_last)
             return True
         if isinstance(made, result.Ok):
             self._reclaim(state)
@@ -111,7 +111,7 @@
         entry = got.unwrap()
         return entry is not None and entry.value == jobrecords.pack(row)
 
-    def _note_written(
+    def _record_written(
         self,
         state: jobstate.JobState,
         item: jobstate.ItemState,
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -178,7 +178,7 @@
         self._takeover.stop()
         self._progress.stop()
         self._wake.set()
-        self._placement.yield_all()
+        self._placement.preempt_all_batch()
         self._wait_for_runs()
         for state in self._table.clear():
             self._hand_over(state)
@@ -277,10 +277,10 @@
         self._pool.submit(self._run, row.state, row.item, slot)
 
     def _choose_service(self, state: jobstate.JobState) -> str | None:
-        in_force = self._configuration.current()
-        if in_force is None:
+        active = self._configuration.current()
+        if active is None:
             return None
-        route = in_force.route(state.meta.host, state.meta.path)
+        route = active.route(state.meta.host, state.meta.path)
         if route is None or route.kind != "batch":
             return None
         return route.choose_service()
@@ -346,11 +346,11 @@
             left_s=-1.0,
             silence_s=_MAX_SILENCE_S,
             last_event=item.last_event,
-            on_open=slot.on_yield,
+            on_open=slot.set_cancel_callback,
         )
         if isinstance(sent, result.Err):
             failure = sent.err_value
-            if not slot.has_yielded:
+            if not slot.is_preempted:
                 item.pause()
             self._log_interruption(state, item, slot, failure.why)
             return
@@ -384,11 +384,11 @@
                     item.output.append(event.data)
             answer.allow_silence(_MAX_CHUNK_GAP_S)
             item.breaks = 0
-            self._placement.health.heard(slot.upstream.instance)
+            self._placement.health.record_data(slot.upstream.instance)
             if state.is_dropped:
                 return
         if why or splitter.has_part:
-            if not slot.has_yielded:
+            if not slot.is_preempted:
                 slot.outcome = "failed"
                 item.pause()
             self._log_interruption(state, item, slot, why or "cut in an event")
@@ -430,7 +430,7 @@
         why: str,
     ) -> None:
         _events.info(
-            "yielded" if slot.has_yielded else "broke_off",
+            "yielded" if slot.is_preempted else "broke_off",
             job=state.meta.job,
             item=item.item.item,
             upstream=slot.upstream.instance,
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -41,7 +41,7 @@
 _UNAVAILABLE = dialect.StoreError("refused", "the store is away")
 
 
-class StorePath:
+class FailoverStore:
     """A `dialect.Store` that calls through peers while direct access is lost.
 
     The failure: the store refuses calls from some VMs, or the network cuts
@@ -192,7 +192,7 @@
         """Asks peers in turn to make a call until one reaches the store."""
         if self._peers is None:
             return storemessages.Failed(_UNAVAILABLE)
-        for vm in self._helpers():
+        for vm in self._choose_helpers():
             called = self._peers.call(
                 vm, request, request.timeout_s + _PEER_ROUND_TRIP_S
             )
@@ -209,7 +209,7 @@
         self._helper_backoff_until_s = time.monotonic() + _HELPER_BACKOFF_S
         return storemessages.Failed(_UNAVAILABLE)
 
-    def _helpers(self) -> tuple[str, ...]:
+    def _choose_helpers(self) -> tuple[str, ...]:
         """Returns the VMs to call through, the last helper first."""
         own = self._members.own().vm
         # The probers are the first to detect that a store that was
--- a/packages/gateway/gateway/storereaders.py
+++ b/packages/gateway/gateway/storereaders.py
@@ -166,7 +166,7 @@
 
     def _step(self) -> float:
         """Reads or follows once; returns the pause after it in seconds."""
-        readers = self._members.leaders_apart("readers", _READER_COUNT)
+        readers = self._members.leader_with_backups("readers", _READER_COUNT)
         own = self._members.own().vm
         if own not in readers and self._follow_any(readers):
             self._set_reader(False)
@@ -193,8 +193,8 @@
             self._members.suspect(vm)
             return False
         followed: Followed = called.unwrap()
-        in_force = self._feed.current()
-        if in_force is None or followed.configuration > in_force.version:
+        active = self._feed.current()
+        if active is None or followed.configuration > active.version:
             self._pings.fetch_from(vm)
         self._follow_rest(followed)
         update = followed.upstreams_update
@@ -203,7 +203,7 @@
         by_instance = {row.instance: row for row in followed.upstreams}
         if not _apply(self._upstream_replica, update, by_instance):
             return False
-        self._upstream_list.follow(
+        self._upstream_list.apply_received(
             tuple(self._upstream_replica.rows.values()), update.age_s
         )
         return True
@@ -215,23 +215,23 @@
         if update.is_fresh(_MAX_OTHER_AGE_S) and _apply(
             self._vm_replica, update, by_vm
         ):
-            self._members.follow(
+            self._members.apply_received(
                 tuple(self._vm_replica.rows.values()), update.age_s
             )
         update = followed.jobs_update
-        keyed = followed.jobs.keyed()
+        keyed = followed.jobs.rows_by_key()
         if update.is_fresh(_MAX_OTHER_AGE_S) and _apply(
             self._job_replica, update, keyed
         ):
-            rows = joblisting.job_rows(self._job_replica.rows)
-            self._job_listing.follow(rows, update.age_s)
+            rows = joblisting.from_rows_by_key(self._job_replica.rows)
+            self._job_listing.apply_received(rows, update.age_s)
 
     def _on_follow(self, vm: str, message: Follow) -> Followed:
         del vm
-        upstreams, upstreams_version = self._upstream_list.all()
-        vms, vms_version = self._members.all()
-        jobs, jobs_version = self._job_listing.all()
-        in_force = self._feed.current()
+        upstreams, upstreams_version = self._upstream_list.snapshot()
+        vms, vms_version = self._members.snapshot()
+        jobs, jobs_version = self._job_listing.snapshot()
+        active = self._feed.current()
         upstreams_answer = self._delta(
             message.upstreams,
             f"u{upstreams_version}",
@@ -240,15 +240,17 @@
         vms_answer = self._delta(
             message.vms, f"v{vms_version}", lambda: {row.vm: row for row in vms}
         )
-        jobs_answer = self._delta(message.jobs, f"j{jobs_version}", jobs.keyed)
+        jobs_answer = self._delta(
+            message.jobs, f"j{jobs_version}", jobs.rows_by_key
+        )
         return Followed(
-            0 if in_force is None else in_force.version,
+            0 if active is None else active.version,
             upstreams_answer.update(self._upstream_list.age_s()),
             tuple(upstreams_answer.delta.rows.values()),
             vms_answer.update(self._members.age_s()),
             tuple(vms_answer.delta.rows.values()),
             jobs_answer.update(self._job_listing.age_s()),
-            joblisting.job_rows(jobs_answer.delta.rows),
+            joblisting.from_rows_by_key(jobs_answer.delta.rows),
         )
 
     def _delta(
--- a/packages/gateway/gateway/takeover.py
+++ b/packages/gateway/gateway/takeover.py
@@ -169,7 +169,7 @@
         """Returns the last known VM with a job's claim; empty if unknown."""
         if self._table.get(job) is not None:
             return self._vm
-        return self._listing.all()[0].holders().get(job, "")
+        return self._listing.snapshot()[0].holders().get(job, "")
 
     def _run(self) -> None:
         self._resume_after_restart()
@@ -185,20 +185,20 @@
         own = self._table.names()
         # Computed before the rows are fetched, which are at least as recent.
         read_s = time.monotonic() - self._listing.age_s()
-        rows = self._listing.latest()
+        rows = self._listing.rows_or_read()
         if rows is None:
             return
-        opened = set(rows.opened)
-        for job in own - opened:
+        open_jobs = set(rows.open_jobs)
+        for job in own - open_jobs:
             if self._table.added_s(job) < read_s:
                 self._drop_if_closed(job)
-        self._resume_forgotten(rows, opened, read_s)
-        for job in opened - rows.holders().keys() - own:
+        self._resume_forgotten(rows, open_jobs, read_s)
+        for job in open_jobs - rows.holders().keys() - own:
             if not self._stopping.is_set() and self._should_take_over(job):
                 self._take_over(job)
 
     def _resume_forgotten(
-        self, rows: joblisting.JobRows, opened: set[str], read_s: float
+        self, rows: joblisting.JobRows, open_jobs: set[str], read_s: float
     ) -> None:
         """Resumes jobs that this VM has claimed but does not run.
 
@@ -207,12 +207,12 @@
 
         Args:
             rows: The listing of jobs.
-            opened: The ids of the jobs that the listing shows as open.
+            open_jobs: The ids of the jobs that the listing shows as open.
             read_s: When the listing was read, by the monotonic clock. A job
                 that this VM removed after that is not resumed.
         """
         for claim in rows.held_by(self._vm):
-            if claim.job not in opened or self._table.get(claim.job):
+            if claim.job not in open_jobs or self._table.get(claim.job):
                 continue
             if self._table.removed_s(claim.job) < read_s:
                 _events.warning("forgotten", job=claim.job)
@@ -254,8 +254,8 @@
         Without the wait, VMs that are all started at once would all read the
         listing from the store.
         """
-        if self._listing.is_told():
-            return self._listing.latest()
+        if self._listing.is_received():
+            return self._listing.rows_or_read()
         return self._listing.read() if waited_s > _LISTING_WAIT_S else None
 
     def _renew_and_run(self, claim: joblisting.ClaimRow) -> None:
--- a/packages/gateway/gateway/upstreamlist.py
+++ b/packages/gateway/gateway/upstreamlist.py
@@ -20,7 +20,7 @@
 class UpstreamList:
     """Holds the last known list, also while the store is unavailable.
 
-    Only one thread may call `read` and `follow`.
+    Only one thread may call `read` and `apply_received`.
     """
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
@@ -79,7 +79,7 @@
         """Returns an upstream by its name; `None` if it is not listed."""
         return self._by_instance.get(instance)
 
-    def all(self) -> tuple[tuple[records.Upstream, ...], int]:
+    def snapshot(self) -> tuple[tuple[records.Upstream, ...], int]:
         """Returns all upstreams, draining ones too, and the list's version.
 
         The version grows with each change. It is read before the rows: if the
@@ -103,7 +103,7 @@
         self._last_read_failed = rows is None
         return rows is not None
 
-    def follow(
+    def apply_received(
         self, rows: tuple[records.Upstream, ...] | None, age_s: float
     ) -> None:
         """Applies a list that another VM read from the store.
--- a/packages/gateway/gateway/upstreamsender.py
+++ b/packages/gateway/gateway/upstreamsender.py
@@ -155,7 +155,9 @@
             return Failure("ended", may_have_run, error.message)
         slot.outcome = "failed"
         if error.kind == "unreachable":
-            self._placement.health.failed(upstream.instance, error.message)
+            self._placement.health.record_failure(
+                upstream.instance, error.message
+            )
             return Failure("unreachable", may_have_run, error.message)
         if error.kind == "timeout":
             return Failure("silent", may_have_run, error.message)
@@ -178,11 +180,11 @@
         if head.has_not_run:
             why = f"status {answer.status}, not run"
             if head.is_other:
-                self._placement.health.failed(upstream.instance, why)
+                self._placement.health.record_failure(upstream.instance, why)
             _read_to_end(answer)
             return result.Err(Failure("rejected", False, why))
-        self._placement.health.heard(upstream.instance)
-        self._placement.health.worked(upstream.instance)
+        self._placement.health.record_data(upstream.instance)
+        self._placement.health.record_success(upstream.instance)
         if answer.status in _NOT_EXECUTED_STATUSES or not head.is_signed:
             # The answer is not relayed. Its status may read as a guarantee
             # that the request did not run, which the upstream did not give, or
--- a/packages/gateway/gateway/vmretirement.py
+++ b/packages/gateway/gateway/vmretirement.py
@@ -39,7 +39,7 @@
         self._store = find(names.STORE, dialect_lib.Store)
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
         feed = find(names.CONFIGURATION, configuration.Feed)
-        feed.on_retire(self._requests.put)
+        feed.on_retire_request(self._requests.put)
         threading.Thread(
             target=self._run, name="retirements", daemon=True
         ).start()
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -73,7 +73,7 @@
 def test_the_longest_prefix_of_the_host_is_the_route() -> None:
     value = gatewayscene.configuration()
     read = wire.Dialect().configuration(json.dumps(value).encode())
-    held = configuration.InForce(read, b"")
+    held = configuration.ActiveConfiguration(read, b"")
     found = held.route("H.example:80", "/s/once/x")
     assert found is not None
     assert found.name == "once"
--- a/tests/gateway/test_deltas.py
+++ b/tests/gateway/test_deltas.py
@@ -80,14 +80,14 @@
     """
     history = deltas.History()
     before, after = _jobs(30), _jobs(32)
-    history.delta("", "s1", before.keyed)
+    history.delta("", "s1", before.rows_by_key)
     whole = _sent_bytes(165, "", after)
-    delta = history.delta("s1", "s2", after.keyed)
-    changed = _sent_bytes(165, "s1", joblisting.job_rows(delta.rows))
+    delta = history.delta("s1", "s2", after.rows_by_key)
+    changed = _sent_bytes(165, "s1", joblisting.from_rows_by_key(delta.rows))
     assert whole * 8 * 2 > 15e6
     assert changed * 8 * 2 < 15e6 * 0.1
 
 
 def test_job_rows_are_restored_from_their_keyed_form() -> None:
     rows = _jobs(5)
-    assert joblisting.job_rows(rows.keyed()) == rows
+    assert joblisting.from_rows_by_key(rows.rows_by_key()) == rows
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -111,7 +111,7 @@
 
     def take_queued(*args: Any) -> Any:
         taken = take(*args)
-        taken.unwrap().is_free = False
+        taken.unwrap().starts_at_once = False
         return taken
 
     monkeypatch.setattr(placer, "take", take_queued)
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -226,8 +226,8 @@
     vm = scene.add_vm("vm2", "d2")
     membership = vm.kernel.find("membership", members.Members)
     for _ in range(2):
-        membership.note_ping("d1", "vm1", was_answered=False)
-    assert membership.lost_domains() == {"d1"}
+        membership.record_ping("d1", "vm1", was_answered=False)
+    assert membership.unreachable_domains() == {"d1"}
     vm.submit("j1", _items(3))
     assert len(_finished(vm, "j1")) == 3
 
@@ -371,7 +371,7 @@
     first, second = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
     first.submit("j1", _items(2))
     listing = second.kernel.find(names.JOB_LISTING, joblisting.JobListing)
-    gatewayscene.until(lambda: "j1" in listing.all()[0].holders())
+    gatewayscene.until(lambda: "j1" in listing.snapshot()[0].holders())
     before = second.client.calls.count("get")
     answer = second.results("j1")
     assert (answer.status, answer.json()["total"]) == (200, 2)
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -46,7 +46,7 @@
     gatewayscene.until(lambda: placed.take("llm", 0.3, ()).is_ok())
     assert len(placed.take_batch("llm", [batchorder.ItemPriority()] * 2)) == 2
     customer = records.Customer("school", (), 0, 0.001, 1)
-    owned = vm.kernel.find(names.RATES, rates.Rates)
+    owned = vm.kernel.find(names.RATES, rates.RateLimiter)
     while owned.take(customer).is_ok():
         continue
     text = vm.kernel.find(names.METRICS, metrics.Metrics).text().decode()
--- a/tests/gateway/test_storepath.py
+++ b/tests/gateway/test_storepath.py
@@ -29,8 +29,8 @@
     return vms
 
 
-def _store_path(vm: gatewayscene.Vm) -> storepath.StorePath:
-    return vm.kernel.find(names.STORE, storepath.StorePath)
+def _store_path(vm: gatewayscene.Vm) -> storepath.FailoverStore:
+    return vm.kernel.find(names.STORE, storepath.FailoverStore)
 
 
 def test_a_vm_that_the_store_turns_away_accepts_and_finishes_jobs(
@@ -114,7 +114,7 @@
     late.
     """
     client = gatewaystore.StoreClient(gatewaystore.MemoryStore())
-    path = storepath.StorePath(kernel_lib.Kernel(), client)
+    path = storepath.FailoverStore(kernel_lib.Kernel(), client)
     client.is_silent = True
     assert path.get("key", 1.0).unwrap_err().kind == "unknown"
     gatewayscene.until(lambda: path.dump()["is_lost"])
--- a/tests/gateway/test_storereaders.py
+++ b/tests/gateway/test_storereaders.py
@@ -118,8 +118,8 @@
     for vm in readers:
         vm.client.is_down = True
         # Nor can the reader call the store through another VM.
-        path = vm.kernel.find(names.STORE, storepath.StorePath)
-        monkeypatch.setattr(path, "_helpers", tuple)
+        path = vm.kernel.find(names.STORE, storepath.FailoverStore)
+        monkeypatch.setattr(path, "_choose_helpers", tuple)
     engine = scene.add_engine()
     for vm in vms:
         if vm not in readers:
@@ -158,10 +158,10 @@
         gatewayscene.until(lambda found=found: found.count() == 5)
         gatewayscene.until(
             lambda listed=listed: (
-                listed.all()[0].holders() == {"j1": "elsewhere"}
+                listed.snapshot()[0].holders() == {"j1": "elsewhere"}
             )
         )
-        assert listed.all()[0].opened == ("j1",)
+        assert listed.snapshot()[0].open_jobs == ("j1",)
 
 
 def test_a_follower_takes_over_a_job(
@@ -209,10 +209,10 @@
     found = upstreamlist.UpstreamList(kernel_lib.Kernel())
     old = records.Upstream("i-0", "llm", "h:1", "d", 8, False, 0)
     new = old._replace(is_draining=True)
-    found.follow((old,), 0.0)
+    found.apply_received((old,), 0.0)
     found._by_instance = _Changing(
-        {"i-0": old}, lambda: found.follow((new,), 0.0)
+        {"i-0": old}, lambda: found.apply_received((new,), 0.0)
     )
-    rows, version = found.all()
+    rows, version = found.snapshot()
     assert rows == (old,)
-    assert version != found.all()[1]
+    assert version != found.snapshot()[1]
--- a/tests/gateway/test_vms.py
+++ b/tests/gateway/test_vms.py
@@ -74,7 +74,7 @@
     allowed = 0
     for number in range(20):
         vm = vms[number % 2]
-        taken = vm.kernel.find(names.RATES, rates.Rates).take(customer)
+        taken = vm.kernel.find(names.RATES, rates.RateLimiter).take(customer)
         allowed += taken.is_ok()
     assert allowed == 6
 
@@ -109,7 +109,7 @@
     allowed = 0
     for number in range(30):
         vm = by_name[(owner, asker)[number % 2]]
-        taken = vm.kernel.find(names.RATES, rates.Rates).take(customer)
+        taken = vm.kernel.find(names.RATES, rates.RateLimiter).take(customer)
         allowed += taken.is_ok()
     assert allowed <= 7
 
@@ -131,7 +131,7 @@
         if found.leaders(f"rate c{number}")[0] == "vm2"
     )
     vms[1].kernel.find("peers", members.Members).stop(0.1)
-    own = vms[0].kernel.find(names.RATES, rates.Rates)
+    own = vms[0].kernel.find(names.RATES, rates.RateLimiter)
     customer = records.Customer(name, (), 0, 0.001, 40)
     allowed = sum(own.take(customer).is_ok() for _ in range(40))
     assert allowed <= 10
@@ -154,11 +154,11 @@
     monkeypatch.setattr(own, "_ping", lambda domain, vm: None)
     for _ in range(3):
         found.suspect("vm2")
-    assert not found.lost_domains()
-    found.note_ping("d2", "vm3", was_answered=False)
-    assert found.lost_domains() == {"d2"}
-    found.note_ping("d2", "vm3", was_answered=True)
-    assert not found.lost_domains()
+    assert not found.unreachable_domains()
+    found.record_ping("d2", "vm3", was_answered=False)
+    assert found.unreachable_domains() == {"d2"}
+    found.record_ping("d2", "vm3", was_answered=True)
+    assert not found.unreachable_domains()
 
 
 def test_a_vm_that_answers_stays_though_the_store_lost_its_entry(
@@ -172,7 +172,7 @@
     vms = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
     _wait_until_listed(*vms)
     found, other = (vm.kernel.find("membership", members.Members) for vm in vms)
-    monkeypatch.setattr(other, "_keep_entry", lambda: True)
+    monkeypatch.setattr(other, "_renew_or_register", lambda: True)
     scene.store.write("bulrushdeal/members/vm2", None)
     before = len(vms[0].client.calls)
     # The VM reads the list after each renewal.
@@ -197,7 +197,9 @@
         scene.store.write(key, json.dumps(value).encode())
     found = vm.kernel.find("membership", members.Members)
     gatewayscene.until(lambda: found.count() == 100)
-    leaders = {found.first(f"rate {number}") for number in range(1000)}
+    leaders = {
+        found.preferred_leader(f"rate {number}") for number in range(1000)
+    }
     assert 16 <= len(leaders) <= 20
     # If none of them is reachable, any VM may lead, including this one.
     for name in leaders:
@@ -217,11 +219,11 @@
     vm = scene.add_vm("vm1", "d1")
     found = vm.kernel.find("membership", members.Members)
     for _ in range(2):
-        found.note_ping("d2", "vm2", was_answered=False)
-    assert found.lost_domains() == {"d2"}
-    later_s = time.monotonic() + members.LOST_S + 0.1
+        found.record_ping("d2", "vm2", was_answered=False)
+    assert found.unreachable_domains() == {"d2"}
+    later_s = time.monotonic() + members.DOMAIN_LOST_S + 0.1
     monkeypatch.setattr(time, "monotonic", lambda: later_s)
-    assert not found.lost_domains()
+    assert not found.unreachable_domains()
 
 
 def test_a_vm_that_is_cut_off_from_a_service_sends_callers_elsewhere(
@@ -275,8 +277,8 @@
     assert len(slots) == 8
     taken = second.take("llm", 0.3, ())
     assert taken.is_ok()
-    gatewayscene.until(lambda: any(slot.has_yielded for slot in slots))
-    assert sum(slot.has_yielded for slot in slots) == 1
+    gatewayscene.until(lambda: any(slot.is_preempted for slot in slots))
+    assert sum(slot.is_preempted for slot in slots) == 1
 
 
 def test_a_request_to_retire_is_answered(scene: gatewayscene.Scene) -> None:
@@ -315,7 +317,7 @@
     found = vm.kernel.find("membership", members.Members)
     monkeypatch.setattr(found, "is_known", lambda: False)
     customer = records.Customer("school", (), 0, 0.001, 40)
-    own = vm.kernel.find(names.RATES, rates.Rates)
+    own = vm.kernel.find(names.RATES, rates.RateLimiter)
     assert sum(own.take(customer).is_ok() for _ in range(40)) == 1
 
 
