--- a/packages/bench/bench/replay/items.py
+++ b/packages/bench/bench/replay/items.py
@@ -185,10 +185,10 @@
 
     def _finish(self, run: str, row: _Asked) -> None:
         now_s = self._timeline.now_s
-        took_s = row.item.done_s(now_s)
+        took_s = row.item.elapsed_s(now_s)
         self._run_s += (took_s - self._run_s) * _RUN_WEIGHT
         self._give_back(run, row, "ok")
-        row.job.state.note_listed(row.item)
+        row.job.state.mark_listed(row.item)
         is_late = now_s > row.job.state.due_s
         self._done[row.item.item.item] = "late" if is_late else "in_time"
 
--- a/packages/gateway/gateway/backlogs.py
+++ b/packages/gateway/gateway/backlogs.py
@@ -36,7 +36,7 @@
 _MAX_CACHED_COUNTS = 10_000
 
 
-class Change(NamedTuple):
+class JobAcceptance(NamedTuple):
     """The store transaction that accepts a job.
 
     Attributes:
@@ -62,7 +62,7 @@
     revision: int
 
 
-def name(customer: str, route: records.Route) -> str:
+def backlog_name(customer: str, route: records.Route) -> str:
     """Returns the name of a customer's backlog on a route in the store."""
     which = route.name or f"{route.host}{route.prefix}"
     # Hashed because keys are short and names may be long.
@@ -75,45 +75,45 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobstore.JobStore,
+        job_store: jobstore.JobStore,
         listing: joblisting.JobListing,
     ) -> None:
         self._store = store
-        self._book = book
+        self._job_store = job_store
         self._listing = listing
         self._lock = threading.Lock()
         self._cached_counts: dict[str, _Count] = {}
 
     def accept(
-        self, change: Change, demand: backlog.Demand
+        self, acceptance: JobAcceptance, demand: backlog.Demand
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
-        """Commits the change that accepts a job, if the job fits.
+        """Commits the transaction that accepts a job, if the job fits.
 
         Args:
-            change: The change.
+            acceptance: The transaction.
             demand: The job's tokens and the bound; a bound of 0 means none.
 
         Returns:
             As `JobStore.commit`; a conflict means that the job already exists.
             The error `no_room` means that the job does not fit.
         """
-        key = self._book.keys.backlog(change.meta.backlog)
+        key = self._job_store.keys.backlog(acceptance.meta.backlog)
         if not demand.bound:
             # An unknown count makes VMs add up the open jobs once a bound is
             # set.
             value = jobrecords.pack(jobrecords.Backlog(None))
             uncounted = dialect_lib.Write(key, value)
-            return self._book.commit(
-                (change.expected,), (*change.writes, uncounted), ()
+            return self._job_store.commit(
+                (acceptance.expected,), (*acceptance.writes, uncounted), ()
             )
         for _ in range(_MAX_TRIES):
-            found = self._find_count(change.meta.backlog, demand)
+            found = self._find_count(acceptance.meta.backlog, demand)
             if isinstance(found, result.Err):
                 return found
             backlog_count = found.ok_value
             tokens = (backlog_count.tokens or 0) + demand.tokens
             made = self._commit(
-                change, key, backlog_count._replace(tokens=tokens)
+                acceptance, key, backlog_count._replace(tokens=tokens)
             )
             if isinstance(made, result.Err):
                 self._discard_cached_count(key)
@@ -121,7 +121,7 @@
             if isinstance(made.ok_value, int):
                 self._cache_count(key, _Count(tokens, made.ok_value))
                 return made
-            if _has_entry(made.ok_value, change.expected.key):
+            if _has_entry(made.ok_value, acceptance.expected.key):
                 return made
             self._cache_count(
                 key, _unpack_count(_find_entry(made.ok_value, key))
@@ -132,36 +132,36 @@
         )
 
     def _commit(
-        self, change: Change, key: str, backlog_count: _Count
+        self, acceptance: JobAcceptance, key: str, backlog_count: _Count
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
         value = jobrecords.pack(jobrecords.Backlog(backlog_count.tokens or 0))
-        return self._book.commit(
+        return self._job_store.commit(
             (
-                change.expected,
+                acceptance.expected,
                 dialect_lib.Expected(key, backlog_count.revision),
             ),
-            (*change.writes, dialect_lib.Write(key, value)),
+            (*acceptance.writes, dialect_lib.Write(key, value)),
             (),
         )
 
     def _find_count(
-        self, backlog_name: str, demand: backlog.Demand
+        self, name: str, demand: backlog.Demand
     ) -> result.Result[_Count, jobmessages.JobError]:
         """Returns a count that the job fits on top of, or `no_room`."""
-        latest = self._latest_count(backlog_name)
+        latest = self._latest_count(name)
         if latest.tokens is not None and demand.fits(latest.tokens):
             return result.Ok(latest)
         # The count's revision is older than this listing, so a job that is
         # accepted after the listing makes the commit conflict.
         listed = paging.read_all(
-            self._store, self._book.keys.open, _READ_TIMEOUT_S
+            self._store, self._job_store.keys.open, _READ_TIMEOUT_S
         )
         if listed.is_err():
-            return jobstore.unavailable(listed.unwrap_err())
+            return jobstore.job_error(listed.unwrap_err())
         rows = [
             row
             for row in map(_unpack_open_job, listed.unwrap().entries)
-            if row is not None and row.backlog == backlog_name
+            if row is not None and row.backlog == name
         ]
         waiting = backlog.waiting_tokens(rows)
         if demand.fits(waiting):
@@ -176,17 +176,17 @@
             )
         )
 
-    def _latest_count(self, backlog_name: str) -> _Count:
+    def _latest_count(self, name: str) -> _Count:
         """Returns the newest count that this VM has, without a store call.
 
         While the store is slow, a second call before the one that accepts the
         job would delay the acceptance.
         """
-        key = self._book.keys.backlog(backlog_name)
+        key = self._job_store.keys.backlog(name)
         # Assumes that a count missing here does not exist yet; if it does, the
         # commit conflicts and returns it.
         backlog_count = self._cached_counts.get(key, _Count(0, 0))
-        listed = self._listing.backlog(backlog_name)
+        listed = self._listing.backlog(name)
         if listed is None or listed.revision < backlog_count.revision:
             return backlog_count
         return _Count(listed.backlog.tokens, listed.revision)
@@ -219,7 +219,7 @@
 def _unpack_count(entry: dialect_lib.Entry | None) -> _Count:
     if entry is None or entry.value is None:
         return _Count(0, 0)
-    return _Count(jobrecords.backlog(entry.value).tokens, entry.revision)
+    return _Count(jobrecords.unpack_backlog(entry.value).tokens, entry.revision)
 
 
 def _unpack_open_job(entry: dialect_lib.Entry) -> jobrecords.OpenJob | None:
--- a/packages/gateway/gateway/jobdirectory.py
+++ b/packages/gateway/gateway/jobdirectory.py
@@ -75,7 +75,7 @@
         """Returns how many jobs this VM keeps the directory of."""
         return {"known": len(self._vm_by_job)}
 
-    def note(self, job: str) -> None:
+    def announce(self, job: str) -> None:
         """Queues the announcement that this VM runs a job."""
         self._unannounced.put(job)
 
--- a/packages/gateway/gateway/joblisting.py
+++ b/packages/gateway/gateway/joblisting.py
@@ -209,7 +209,7 @@
         return tuple(
             ClaimRow(
                 row.key.removeprefix(prefix),
-                jobrecords.holder(row.value),
+                jobrecords.claim_holder(row.value),
                 row.revision,
             )
             for row in listed.unwrap().entries
@@ -218,4 +218,6 @@
 
 def _backlog_row(entry: dialect_lib.Entry, prefix: str) -> BacklogRow:
     name = entry.key.removeprefix(prefix)
-    return BacklogRow(name, jobrecords.backlog(entry.value), entry.revision)
+    return BacklogRow(
+        name, jobrecords.unpack_backlog(entry.value), entry.revision
+    )
--- a/packages/gateway/gateway/jobmessages.py
+++ b/packages/gateway/gateway/jobmessages.py
@@ -83,7 +83,7 @@
 class JobRunner(Protocol):
     """Runs the jobs that this VM has claimed."""
 
-    def adopt(self, accepted: Accepted) -> None:
+    def start_job(self, accepted: Accepted) -> None:
         """Starts running a job whose claim this VM holds."""
 
     def drop(self, job: str) -> None:
@@ -92,13 +92,13 @@
     def is_accepting(self) -> bool:
         """Returns whether this VM may run jobs that it accepts."""
 
-    def listed(self, job: str) -> int | None:
+    def result_count(self, job: str) -> int | None:
         """Returns how many results a job that this VM runs has.
 
         `None` if this VM may no longer hold the job's claim.
         """
 
-    def input(self, job: str, item: str) -> bytes | None:
+    def item_body(self, job: str, item: str) -> bytes | None:
         """Returns the body of an item without a result; `None` if not here."""
 
     def holder(self, job: str) -> str:
--- a/packages/gateway/gateway/jobpeers.py
+++ b/packages/gateway/gateway/jobpeers.py
@@ -23,7 +23,7 @@
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         find = kernel.find
-        self._book = find(names.JOB_STORE, jobstore.JobStore)
+        self._job_store = find(names.JOB_STORE, jobstore.JobStore)
         self._directory = find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
         self._members = find(services.MEMBERSHIP, members.Members)
         self._vm = self._members.own().vm
@@ -48,8 +48,8 @@
                 continue
             read = self._read_from_vm(vm, job, 0)
             if read is not None and read.meta is not None:
-                view = self._book.cache(read.meta)
-                self._book.add_peer_results(view, 0, read.rows)
+                view = self._job_store.cache(read.meta)
+                self._job_store.add_peer_results(view, 0, read.rows)
                 return
 
     def _candidate_vms(self, job: str) -> Iterator[str]:
@@ -76,7 +76,7 @@
         return read if read.is_held else None
 
     def fetch_results(
-        self, view: jobstore.View, after: int, wait_s: float
+        self, view: jobstore.JobView, after: int, wait_s: float
     ) -> bool:
         """Caches new results from the VM that runs the job, and may wait.
 
@@ -98,7 +98,7 @@
             read = self._read_from_any(view.meta.job, known)
             if read is None:
                 return False
-            self._book.add_peer_results(view, known, read.rows)
+            self._job_store.add_peer_results(view, known, read.rows)
             left_s = end_s - time.monotonic()
             if len(view.results) > after or left_s <= 0 or view.is_whole():
                 return True
@@ -119,7 +119,7 @@
     ) -> jobmessages.JobRead:
         del vm
         runner = self._runner
-        view = self._book.cached(message.job)
+        view = self._job_store.cached(message.job)
         if runner is None or view is None:
             return jobmessages.JobRead(False, (), None)
         # All results are written under the claim, which is removed with the
@@ -127,7 +127,7 @@
         # The cached results may still be incomplete, if the job was evicted
         # from the cache and read again in part.
         is_latest = (
-            runner.listed(message.job) == len(view.results)
+            runner.result_count(message.job) == len(view.results)
             and self._members.has_valid_lease()
         )
         if not is_latest and not view.is_whole():
@@ -154,12 +154,12 @@
         del vm
         if self._runner is None:
             return jobmessages.InputRead(None)
-        body = self._runner.input(message.job, message.item)
+        body = self._runner.item_body(message.job, message.item)
         return jobmessages.InputRead(body)
 
 
 def results_page(
-    view: jobstore.View, after: int
+    view: jobstore.JobView, after: int
 ) -> tuple[dialect_lib.ItemResult, ...]:
     """Returns the results from a position on that fit one answer.
 
--- a/packages/gateway/gateway/jobrecords.py
+++ b/packages/gateway/gateway/jobrecords.py
@@ -39,7 +39,7 @@
     due_s: float
     backlog: str = ""
 
-    def opened(self, tokens: int) -> "OpenJob":
+    def open_record(self, tokens: int) -> "OpenJob":
         """Returns the record of the open job with the tokens still to run."""
         due_ms = self.accepted_ms + int(self.due_s * 1000)
         return OpenJob(due_ms, self.backlog, tokens)
@@ -158,7 +158,7 @@
         raise codec.CodecError(f"not a record: {error}") from error
 
 
-def holder(value: bytes | None) -> str:
+def claim_holder(value: bytes | None) -> str:
     """Returns the VM that holds a claim; empty if absent or unreadable."""
     if value is None:
         return ""
@@ -168,7 +168,7 @@
         return ""
 
 
-def backlog(value: bytes | None) -> Backlog:
+def unpack_backlog(value: bytes | None) -> Backlog:
     """Decodes a backlog; its tokens are `None` if absent or unreadable."""
     if value is None:
         return Backlog(None)
@@ -180,7 +180,7 @@
 
 def is_held_by(value: bytes | None, vm: str) -> bool:
     """Returns whether a VM holds a claim; none holds an unreadable one."""
-    return holder(value) == vm
+    return claim_holder(value) == vm
 
 
 class _ItemList(NamedTuple):
--- a/packages/gateway/gateway/jobs.py
+++ b/packages/gateway/gateway/jobs.py
@@ -27,7 +27,7 @@
 _CALL_TIMEOUT_S = 0.3
 # The rest of the store's limit is left for the key, JSON and base64 around a
 # value.
-VALUE_SHARE = 0.6
+VALUE_PAYLOAD_SHARE = 0.6
 _MAX_INPUT_PARTS = 24
 
 
@@ -39,15 +39,17 @@
     ) -> None:
         self._kernel = kernel
         self._vm = settings.vm
-        self._value_bytes = int(settings.value_bytes * VALUE_SHARE)
+        self._value_bytes = int(settings.value_bytes * VALUE_PAYLOAD_SHARE)
 
     def start(self) -> None:
         """Looks up the services that it depends on."""
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
-        self._book = find(names.JOB_STORE, jobstore.JobStore)
+        self._job_store = find(names.JOB_STORE, jobstore.JobStore)
         listing = find(names.JOB_LISTING, joblisting.JobListing)
-        self._backlogs = backlogs.Backlogs(self._store, self._book, listing)
+        self._backlogs = backlogs.Backlogs(
+            self._store, self._job_store, listing
+        )
         self._members = find(services.MEMBERSHIP, members.Members)
         self._peers = find(services.PEERS, services.Peers)
         self._peers.handle(jobmessages.EndJob, self._on_end_job)
@@ -63,7 +65,7 @@
         """Returns an empty dump; `JobStore` dumps the cached jobs."""
         return {}
 
-    def run_with(self, runner: jobmessages.JobRunner) -> None:
+    def set_runner(self, runner: jobmessages.JobRunner) -> None:
         """Sets the runner of the jobs that this VM accepts."""
         self._runner = runner
         self._job_peers.set_runner(runner)
@@ -81,7 +83,7 @@
         Returns:
             Whether the job is new.
         """
-        cached = self._book.cached(job)
+        cached = self._job_store.cached(job)
         if cached is not None:
             return self._resubmitted(cached.meta, customer)
         try:
@@ -103,7 +105,7 @@
             route.max_attempts,
             route.retention_s,
             route.completion_target_s,
-            backlogs.name(customer, route),
+            backlogs.backlog_name(customer, route),
         )
         accepted = self._accept(
             meta, submission.items, parts, route.max_waiting_tokens
@@ -123,7 +125,7 @@
         """
         if error.kind != "no_room":
             return result.Err(error)
-        view = self._book.view(meta.job)
+        view = self._job_store.view(meta.job)
         if isinstance(view, result.Ok):
             return self._resubmitted(view.ok_value.meta, meta.customer)
         if view.err_value.kind != "missing":
@@ -142,12 +144,12 @@
         demand = backlog.Demand(
             sum(item.tokens for item in items), max_waiting_tokens
         )
-        change = backlogs.Change(
+        acceptance = backlogs.JobAcceptance(
             meta,
-            dialect_lib.Expected(self._book.keys.meta(meta.job), 0),
+            dialect_lib.Expected(self._job_store.keys.meta(meta.job), 0),
             self._acceptance_writes(meta, parts, demand.tokens, lease),
         )
-        committed = self._backlogs.accept(change, demand)
+        committed = self._backlogs.accept(acceptance, demand)
         if isinstance(committed, result.Err):
             return committed
         if isinstance(committed.ok_value, dialect_lib.Conflict):
@@ -155,9 +157,9 @@
             # answer lost, or another VM accepted the job.
             return self._resolve_conflict(meta, items)
         self._log_accepted(meta, lease)
-        self._book.cache(meta)
+        self._job_store.cache(meta)
         if runner is not None and lease:
-            runner.adopt(
+            runner.start_job(
                 jobmessages.Accepted(
                     meta, items, jobstate.HeldClaim(committed.ok_value, lease)
                 )
@@ -182,12 +184,12 @@
         tokens: int,
         lease: int,
     ) -> tuple[dialect_lib.Write, ...]:
-        keys, write = self._book.keys, dialect_lib.Write
+        keys, write = self._job_store.keys, dialect_lib.Write
         rows = [
             write(keys.meta(meta.job), jobrecords.pack(meta)),
             write(
                 keys.open_job(meta.job),
-                jobrecords.pack(meta.opened(tokens)),
+                jobrecords.pack(meta.open_record(tokens)),
             ),
         ]
         for number, part in enumerate(parts):
@@ -203,14 +205,14 @@
         items: tuple[dialect_lib.JobItem, ...],
     ) -> result.Result[bool, jobmessages.JobError]:
         claim = self._store.get(
-            self._book.keys.claim(meta.job), _READ_TIMEOUT_S
+            self._job_store.keys.claim(meta.job), _READ_TIMEOUT_S
         )
         if claim.is_err():
             return result.Err(
                 jobmessages.JobError("unknown", claim.unwrap_err().message)
             )
         entry = claim.unwrap()
-        view = self._book.view(meta.job)
+        view = self._job_store.view(meta.job)
         if isinstance(view, result.Err):
             return result.Err(
                 jobmessages.JobError("unknown", view.err_value.message)
@@ -218,7 +220,7 @@
         if view.ok_value.meta == meta and self._is_claim_of_this_vm(entry):
             self._log_accepted(meta, 1)
             if self._runner is not None and entry is not None:
-                self._runner.adopt(
+                self._runner.start_job(
                     jobmessages.Accepted(
                         meta, items, jobstate.HeldClaim(entry.revision)
                     )
@@ -273,7 +275,7 @@
         if len(view.results) <= after and not self._job_peers.fetch_results(
             view, after, wait_s
         ):
-            read = self._book.read_new_results(
+            read = self._job_store.read_new_results(
                 view, min(after, len(view.results))
             )
             if isinstance(read, result.Err):
@@ -283,17 +285,17 @@
         return result.Ok(_page(view, after))
 
     def _wait_for_result(
-        self, view: jobstore.View, revision: int, wait_s: float
+        self, view: jobstore.JobView, revision: int, wait_s: float
     ) -> None:
         if wait_s <= 0:
             return
-        prefix = self._book.keys.results(view.meta.job)
+        prefix = self._job_store.keys.results(view.meta.job)
         changed = self._store.watch(
             prefix, revision, wait_s, wait_s + _READ_TIMEOUT_S
         )
         # After an error the caller gets the results known so far.
         if changed.is_ok():
-            self._book.add_entries(view, changed.unwrap().entries)
+            self._job_store.add_entries(view, changed.unwrap().entries)
 
     def input(
         self, job: str, customer: str, item: str
@@ -307,7 +309,7 @@
         body = self._job_peers.input(job, item)
         if body is not None:
             return result.Ok(body)
-        items = self._book.read_items(found.ok_value.meta)
+        items = self._job_store.read_items(found.ok_value.meta)
         if isinstance(items, result.Err):
             return items
         for row in items.ok_value:
@@ -322,9 +324,9 @@
         found = self._view_for_customer(job, customer)
         if isinstance(found, result.Err):
             return found
-        keys = self._book.keys
+        keys = self._job_store.keys
         claim = self._store.get(keys.claim(job), _READ_TIMEOUT_S)
-        committed = self._book.commit(
+        committed = self._job_store.commit(
             (),
             (dialect_lib.Write(keys.ended(job), b"1"),),
             (keys.open_job(job), keys.claim(job)),
@@ -360,10 +362,10 @@
 
     def _view_for_customer(
         self, job: str, customer: str
-    ) -> result.Result[jobstore.View, jobmessages.JobError]:
-        if self._book.cached(job) is None:
+    ) -> result.Result[jobstore.JobView, jobmessages.JobError]:
+        if self._job_store.cached(job) is None:
             self._job_peers.fetch_job(job)
-        view = self._book.view(job)
+        view = self._job_store.view(job)
         if isinstance(view, result.Err):
             return view
         if view.ok_value.meta.customer != customer:
@@ -371,6 +373,6 @@
         return view
 
 
-def _page(view: jobstore.View, after: int) -> dialect_lib.JobPage:
+def _page(view: jobstore.JobView, after: int) -> dialect_lib.JobPage:
     rows = jobpeers.results_page(view, after)
     return dialect_lib.JobPage(len(view.meta.items), after + len(rows), rows)
--- a/packages/gateway/gateway/jobstate.py
+++ b/packages/gateway/gateway/jobstate.py
@@ -47,8 +47,8 @@
         last_event: The id of the last event; `None` before the first.
         failures: The number of failed attempts; `JobMeta.max_attempts` bounds
             it.
-        breaks: The number of pauses since an upstream last sent data, at most
-            10; sets the length of the next pause.
+        consecutive_pauses: The number of pauses since an upstream last sent
+            data, at most 10; sets the length of the next pause.
         not_before_s: The earliest time of the next run, by the monotonic
             clock.
         ran_s: How long the runs so far took, in seconds, without runs whose
@@ -62,12 +62,12 @@
         self.output: list[str] = []
         self.last_event: int | None = None
         self.failures = 0
-        self.breaks = 0
+        self.consecutive_pauses = 0
         self.not_before_s = 0.0
         self.ran_s = 0.0
         self.running_since_s: float | None = None
 
-    def done_s(self, now_s: float) -> float:
+    def elapsed_s(self, now_s: float) -> float:
         """Returns how long the output so far took, in seconds."""
         if not self.output:
             return 0.0
@@ -81,13 +81,13 @@
 
     def end(self, now_s: float) -> None:
         """Marks the item's run as over."""
-        self.ran_s = self.done_s(now_s)
+        self.ran_s = self.elapsed_s(now_s)
         self.running_since_s = None
 
     def pause(self) -> None:
         """Delays the next run; the pause doubles with each call."""
-        pause_s = min(_FIRST_PAUSE_S * 2**self.breaks, _MAX_PAUSE_S)
-        self.breaks = min(self.breaks + 1, 10)
+        pause_s = min(_FIRST_PAUSE_S * 2**self.consecutive_pauses, _MAX_PAUSE_S)
+        self.consecutive_pauses = min(self.consecutive_pauses + 1, 10)
         self.not_before_s = time.monotonic() + pause_s
 
     def progress(self) -> jobrecords.Progress:
@@ -98,10 +98,10 @@
             tuple(self.output),
             last_event,
             self.failures,
-            self.done_s(time.monotonic()),
+            self.elapsed_s(time.monotonic()),
         )
 
-    def go_on_from(self, row: jobrecords.Progress) -> None:
+    def restore_progress(self, row: jobrecords.Progress) -> None:
         """Restores the progress that the item made on another VM."""
         self.output = list(row.output)
         self.last_event = None if row.last_event < 0 else row.last_event
@@ -138,8 +138,8 @@
             a VM that lost the claim changes nothing.
         is_dropped: Whether this VM no longer runs the job because it was
             ended, finished or handed over, or its claim was lost.
-        is_giving_up: Whether a thread is writing the results of items that
-            are given up.
+        is_writing_expired: Whether a thread is writing the error results of
+            a job that is past its retention.
         next_position: The position of the next result.
         list_lock: Held while a result is written. The write at a position
             must be confirmed before the next position is used; otherwise a
@@ -156,7 +156,7 @@
         self.meta = meta
         self.claim = claim
         self.is_dropped = False
-        self.is_giving_up = False
+        self.is_writing_expired = False
         self.list_lock = threading.Lock()
         self.next_position = len(listed)
         self._lock = threading.Lock()
@@ -171,7 +171,7 @@
         """The time when all results are due, in seconds of the epoch."""
         return self.meta.accepted_ms / 1000 + self.meta.due_s
 
-    def is_given_up(self, wall_s: float) -> bool:
+    def is_past_retention(self, wall_s: float) -> bool:
         """Returns whether the job's items are past their retention."""
         age_s = wall_s - self.meta.accepted_ms / 1000
         return age_s > self.meta.retention_s
@@ -181,23 +181,23 @@
         with self._lock:
             return not self._pending and not self._running
 
-    def is_last(self) -> bool:
+    def has_one_unfinished_item(self) -> bool:
         """Returns whether only one item, a running one, has no result."""
         with self._lock:
             return len(self._running) == 1 and not self._pending
 
-    def unlisted(self) -> list[ItemState]:
+    def without_result(self) -> list[ItemState]:
         """Returns the items without a result, waiting ones first."""
         with self._lock:
             return [*self._pending, *self._running]
 
     def tokens(self) -> int:
         """Returns the total tokens of the items without a result."""
-        return sum(row.item.tokens for row in self.unlisted())
+        return sum(row.item.tokens for row in self.without_result())
 
-    def input(self, item: str) -> bytes | None:
+    def item_body(self, item: str) -> bytes | None:
         """Returns the body of an item without a result; `None` otherwise."""
-        for row in self.unlisted():
+        for row in self.without_result():
             if row.item.item == item:
                 return row.item.body
         return None
@@ -223,7 +223,7 @@
         self, item: ItemState, moment: Moment
     ) -> batchorder.ItemPriority:
         """Returns the values that decide the item's place in the order."""
-        done_s = item.done_s(moment.now_s)
+        done_s = item.elapsed_s(moment.now_s)
         is_late = self._is_late(moment, done_s)
         return batchorder.ItemPriority(self.due_s, done_s, is_late)
 
@@ -235,7 +235,7 @@
             self._move_to_running(item)
             return True
 
-    def any_item(self) -> ItemState | None:
+    def take_first_pending(self) -> ItemState | None:
         """Marks the first waiting item, paused or not, as running; returns it.
 
         `None` if no item waits.
@@ -271,20 +271,20 @@
                 self._running.discard(item)
                 self._pending.appendleft(item)
 
-    def note_listed(self, item: ItemState) -> None:
+    def mark_listed(self, item: ItemState) -> None:
         """Records that an item's result was written at `next_position`."""
         with self._lock:
             self.next_position += 1
             self._running.discard(item)
 
-    def go_on_from(self, rows: tuple[jobrecords.Progress, ...]) -> None:
+    def restore_progress(self, rows: tuple[jobrecords.Progress, ...]) -> None:
         """Restores the progress that items made on another VM."""
         by_item = {row.item: row for row in rows}
         with self._lock:
             for item in self._pending:
                 row = by_item.get(item.item.item)
                 if row is not None:
-                    item.go_on_from(row)
+                    item.restore_progress(row)
 
 
 class JobTable:
@@ -294,8 +294,8 @@
         self._lock = threading.Lock()
         self._jobs: dict[str, JobState] = {}
         # When jobs were added and removed, by the monotonic clock.
-        self._added_s: dict[str, float] = {}
-        self._removed_s: collections.OrderedDict[str, float] = (
+        self._added_at_s: dict[str, float] = {}
+        self._removed_at_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
@@ -309,28 +309,28 @@
         with self._lock:
             kept = self._jobs.setdefault(state.meta.job, state)
             kept.claim = max(kept.claim, state.claim)
-            self._added_s.setdefault(state.meta.job, time.monotonic())
+            self._added_at_s.setdefault(state.meta.job, time.monotonic())
             return kept
 
     def get(self, job: str) -> JobState | None:
         """Returns a job's state; `None` if it is not in the table."""
         return self._jobs.get(job)
 
-    def added_s(self, job: str) -> float:
+    def added_at_s(self, job: str) -> float:
         """Returns when a job was added, by the monotonic clock.
 
         A listing that was read earlier may lack the job. Minus infinity if
         the job is not in the table.
         """
-        return self._added_s.get(job, -math.inf)
+        return self._added_at_s.get(job, -math.inf)
 
-    def removed_s(self, job: str) -> float:
+    def removed_at_s(self, job: str) -> float:
         """Returns when a job was removed, by the monotonic clock.
 
         A listing that was read earlier may still have the job. Minus infinity
         if no removal is recorded.
         """
-        return self._removed_s.get(job, -math.inf)
+        return self._removed_at_s.get(job, -math.inf)
 
     def names(self) -> set[str]:
         """Returns the ids of all jobs."""
@@ -348,10 +348,10 @@
             state = self._jobs.pop(job, None)
             if state is None:
                 return False
-            self._added_s.pop(job, None)
-            self._removed_s[job] = time.monotonic()
-            if len(self._removed_s) > _MAX_REMOVED_JOBS:
-                self._removed_s.popitem(last=False)
+            self._added_at_s.pop(job, None)
+            self._removed_at_s[job] = time.monotonic()
+            if len(self._removed_at_s) > _MAX_REMOVED_JOBS:
+                self._removed_at_s.popitem(last=False)
         state.is_dropped = True
         return True
 
@@ -360,5 +360,5 @@
         with self._lock:
             states = list(self._jobs.values())
             self._jobs.clear()
-            self._added_s.clear()
+            self._added_at_s.clear()
         return states
--- a/packages/gateway/gateway/jobstore.py
+++ b/packages/gateway/gateway/jobstore.py
@@ -26,7 +26,7 @@
 _MAX_CACHED_JOBS = 64
 
 
-class View:
+class JobView:
     """A job's metadata and the results that this VM has read; neither changes.
 
     Attributes:
@@ -49,7 +49,7 @@
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         self._lock = threading.Lock()
-        self._views: collections.OrderedDict[str, View] = (
+        self._views: collections.OrderedDict[str, JobView] = (
             collections.OrderedDict()
         )
 
@@ -77,7 +77,7 @@
             return view
         return result.Ok(view.ok_value.meta)
 
-    def results(
+    def read_results(
         self, job: str
     ) -> result.Result[
         tuple[dialect_lib.ItemResult, ...], jobmessages.JobError
@@ -91,13 +91,13 @@
             return read
         return result.Ok(tuple(view.ok_value.results))
 
-    def cached(self, job: str) -> View | None:
+    def cached(self, job: str) -> JobView | None:
         """Returns a job's cached view without a call to the store."""
         return self._views.get(job)
 
     def add_peer_results(
         self,
-        view: View,
+        view: JobView,
         position: int,
         rows: tuple[dialect_lib.ItemResult, ...],
     ) -> None:
@@ -106,7 +106,7 @@
             if len(view.results) == position:
                 view.results.extend(rows)
 
-    def listed(
+    def cache_result(
         self, job: str, position: int, row: dialect_lib.ItemResult
     ) -> None:
         """Caches a result that this VM has written."""
@@ -124,7 +124,7 @@
             key = self.keys.part(meta.job, number)
             got = self._store.get(key, _READ_TIMEOUT_S)
             if got.is_err():
-                return unavailable(got.unwrap_err())
+                return job_error(got.unwrap_err())
             entry = got.unwrap()
             if entry is None or entry.value is None:
                 return result.Err(jobmessages.JobError("missing", "no input"))
@@ -160,7 +160,7 @@
         kind: jobmessages.ErrorKind = "unknown" if is_unknown else "unavailable"
         return result.Err(jobmessages.JobError(kind, message))
 
-    def view(self, job: str) -> result.Result[View, jobmessages.JobError]:
+    def view(self, job: str) -> result.Result[JobView, jobmessages.JobError]:
         """Returns a job's view; reads the metadata unless it is cached."""
         with self._lock:
             view = self._views.get(job)
@@ -169,7 +169,7 @@
                 return result.Ok(view)
         got = self._store.get(self.keys.meta(job), _READ_TIMEOUT_S)
         if got.is_err():
-            return unavailable(got.unwrap_err())
+            return job_error(got.unwrap_err())
         entry = got.unwrap()
         if entry is None or entry.value is None:
             return result.Err(jobmessages.JobError("missing", "no such job"))
@@ -180,16 +180,16 @@
             return result.Err(jobmessages.JobError("unavailable", str(error)))
         return result.Ok(self.cache(meta))
 
-    def cache(self, meta: jobrecords.JobMeta) -> View:
+    def cache(self, meta: jobrecords.JobMeta) -> JobView:
         """Adds a job to the cache and returns its view."""
         with self._lock:
-            view = self._views.setdefault(meta.job, View(meta))
+            view = self._views.setdefault(meta.job, JobView(meta))
             while len(self._views) > _MAX_CACHED_JOBS:
                 self._views.popitem(last=False)
             return view
 
     def read_new_results(
-        self, view: View, known: int
+        self, view: JobView, known: int
     ) -> result.Result[int, jobmessages.JobError]:
         """Reads the results after the first `known` from the store.
 
@@ -203,12 +203,12 @@
             self._store, prefix, _READ_TIMEOUT_S, after=after
         )
         if listed.is_err():
-            return unavailable(listed.unwrap_err())
+            return job_error(listed.unwrap_err())
         self.add_entries(view, listed.unwrap().entries)
         return result.Ok(listed.unwrap().revision)
 
     def add_entries(
-        self, view: View, entries: tuple[dialect_lib.Entry, ...]
+        self, view: JobView, entries: tuple[dialect_lib.Entry, ...]
     ) -> None:
         """Caches the results in a listing of the store."""
         prefix = self.keys.results(view.meta.job)
@@ -225,7 +225,7 @@
                     )
 
 
-def unavailable(
+def job_error(
     error: dialect_lib.StoreError,
 ) -> result.Err[jobmessages.JobError]:
     """Converts a failure of the store to a `JobError`."""
--- a/packages/gateway/gateway/progresswriter.py
+++ b/packages/gateway/gateway/progresswriter.py
@@ -29,11 +29,11 @@
 
     def __init__(
         self,
-        book: jobstore.JobStore,
+        job_store: jobstore.JobStore,
         table: jobstate.JobTable,
         value_bytes: int,
     ) -> None:
-        self._book = book
+        self._job_store = job_store
         self._table = table
         self._value_bytes = value_bytes
         # The number of events in the last progress written for each job.
@@ -55,7 +55,7 @@
             Whether the store answered; also true if the claim had changed, in
             which case nothing was written.
         """
-        claim = self._book.keys.claim(state.meta.job)
+        claim = self._job_store.keys.claim(state.meta.job)
         return self._write(state, (claim,)).is_ok()
 
     def _run(self) -> None:
@@ -72,7 +72,7 @@
     def _write_if_changed(self, state: jobstate.JobState) -> int:
         """Writes new progress; returns the number of events last written."""
         before = self._written_events.get(state.meta.job, 0)
-        events = sum(len(item.output) for item in state.unlisted())
+        events = sum(len(item.output) for item in state.without_result())
         if not events or events == before or state.is_dropped:
             return before
         try:
@@ -87,12 +87,12 @@
     def _write(
         self, state: jobstate.JobState, deletes: tuple[str, ...]
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
-        keys, job = self._book.keys, state.meta.job
+        keys, job = self._job_store.keys, state.meta.job
         expected = dialect_lib.Expected(keys.claim(job), state.claim.revision)
-        rows = [item.progress() for item in state.unlisted()]
+        rows = [item.progress() for item in state.without_result()]
         value = jobrecords.pack_progress(_fit_rows(rows, self._value_bytes))
         write = dialect_lib.Write(keys.progress(job), value)
-        return self._book.commit((expected,), (write,), deletes)
+        return self._job_store.commit((expected,), (write,), deletes)
 
 
 def _fit_rows(
--- a/packages/gateway/gateway/resultwriter.py
+++ b/packages/gateway/gateway/resultwriter.py
@@ -26,12 +26,12 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobstore.JobStore,
+        job_store: jobstore.JobStore,
         table: jobstate.JobTable,
         claims: takeover.Claims,
     ) -> None:
         self._store = store
-        self._book = book
+        self._job_store = job_store
         self._table = table
         self._claims = claims
 
@@ -75,15 +75,15 @@
     ) -> bool:
         if state.is_dropped:
             return False
-        keys, job = self._book.keys, state.meta.job
-        is_last = state.is_last()
+        keys, job = self._job_store.keys, state.meta.job
+        is_last = state.has_one_unfinished_item()
         key = keys.result(job, state.next_position)
-        left = state.meta.opened(state.tokens() - item.item.tokens)
+        left = state.meta.open_record(state.tokens() - item.item.tokens)
         writes = [dialect_lib.Write(key, jobrecords.pack(row))]
         if not is_last:
             opened = jobrecords.pack(left)
             writes.append(dialect_lib.Write(keys.open_job(job), opened))
-        made = self._book.commit(
+        made = self._job_store.commit(
             (
                 dialect_lib.Expected(key, 0),
                 dialect_lib.Expected(keys.claim(job), state.claim.revision),
@@ -118,8 +118,8 @@
         row: dialect_lib.ItemResult,
         is_last: bool,
     ) -> None:
-        self._book.listed(state.meta.job, state.next_position, row)
-        state.note_listed(item)
+        self._job_store.cache_result(state.meta.job, state.next_position, row)
+        state.mark_listed(item)
         if is_last:
             self._table.remove(state.meta.job)
             _events.info("finished", job=state.meta.job)
@@ -136,7 +136,7 @@
             if claimed.err_value.kind not in ("unavailable", "unknown"):
                 self._drop(job, claimed.err_value.message)
             return
-        listed = self._book.results(job)
+        listed = self._job_store.read_results(job)
         if listed.is_err():
             return
         if len(listed.unwrap()) != state.next_position:
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -68,7 +68,7 @@
         self, kernel: kernel_lib.Kernel, settings: records.Settings
     ) -> None:
         self._kernel = kernel
-        self._value_bytes = int(settings.value_bytes * jobs.VALUE_SHARE)
+        self._value_bytes = int(settings.value_bytes * jobs.VALUE_PAYLOAD_SHARE)
         self._lock = threading.Lock()
         self._table = jobstate.JobTable()
         self._wake = threading.Event()
@@ -86,27 +86,27 @@
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
         self._configuration = find(names.CONFIGURATION, configuration.Feed)
         self._placement = find(names.PLACEMENT, placement.Placement)
-        self._book = find(names.JOB_STORE, jobstore.JobStore)
+        self._job_store = find(names.JOB_STORE, jobstore.JobStore)
         self._directory = find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
         self._sender = upstreamsender.Sender(self._kernel)
         self._progress = progresswriter.ProgressWriter(
-            self._book, self._table, self._value_bytes
+            self._job_store, self._table, self._value_bytes
         )
         vms = self._members = find(services.MEMBERSHIP, members.Members)
-        claims = takeover.Claims(self._store, self._book, vms)
+        claims = takeover.Claims(self._store, self._job_store, vms)
         self._writer = resultwriter.ResultWriter(
-            self._store, self._book, self._table, claims
+            self._store, self._job_store, self._table, claims
         )
         self._takeover = takeover.Takeover(
             self._store,
-            self._book,
+            self._job_store,
             find(names.JOB_LISTING, joblisting.JobListing),
             vms,
             self._table,
             claims,
             self._on_taken_over,
         )
-        find(names.JOBS, jobs.Jobs).run_with(self)
+        find(names.JOBS, jobs.Jobs).set_runner(self)
         threading.Thread(
             target=self._schedule_items, name="runner", daemon=True
         ).start()
@@ -134,17 +134,17 @@
         """See `jobmessages.JobRunner`."""
         return not self._stopping.is_set()
 
-    def adopt(self, accepted: jobmessages.Accepted) -> None:
+    def start_job(self, accepted: jobmessages.Accepted) -> None:
         """See `jobmessages.JobRunner`."""
         state = jobstate.JobState(
             accepted.meta, accepted.items, accepted.claim, ()
         )
         self._table.add(state)
-        self._directory.note(accepted.meta.job)
+        self._directory.announce(accepted.meta.job)
         self._wake.set()
 
     def _on_taken_over(self, job: str) -> None:
-        self._directory.note(job)
+        self._directory.announce(job)
         self._wake.set()
 
     def drop(self, job: str) -> None:
@@ -152,7 +152,7 @@
         if self._table.remove(job):
             _events.info("dropped", job=job, why="it was ended")
 
-    def listed(self, job: str) -> int | None:
+    def result_count(self, job: str) -> int | None:
         """See `jobmessages.JobRunner`."""
         state = self._table.get(job)
         if state is None or state.claim.lease != self._members.lease():
@@ -161,10 +161,10 @@
             return None
         return state.next_position
 
-    def input(self, job: str, item: str) -> bytes | None:
+    def item_body(self, job: str, item: str) -> bytes | None:
         """See `jobmessages.JobRunner`."""
         state = self._table.get(job)
-        return None if state is None else state.input(item)
+        return None if state is None else state.item_body(item)
 
     def holder(self, job: str) -> str:
         """See `jobmessages.JobRunner`."""
@@ -193,7 +193,7 @@
 
     def _hand_over(self, state: jobstate.JobState) -> None:
         state.is_dropped = True
-        items = len(state.unlisted())
+        items = len(state.without_result())
         ok = self._progress.hand_over(state)
         _events.info("handed_over", job=state.meta.job, items=items, ok=ok)
 
@@ -201,9 +201,9 @@
         while not self._stopping.is_set():
             self._wake.wait(_SCHEDULE_INTERVAL_S)
             self._wake.clear()
-            self.feed()
+            self.schedule()
 
-    def feed(self) -> None:
+    def schedule(self) -> None:
         """Starts the items that may run now, in rank order per service."""
         moment = jobstate.Moment(
             time.monotonic(), time.time(), self._mean_run_s
@@ -232,8 +232,8 @@
         items = state.ready(moment)
         if not items or state.is_dropped:
             return []
-        if state.is_given_up(moment.wall_s):
-            self._give_up_in_background(state)
+        if state.is_past_retention(moment.wall_s):
+            self._write_expired_in_background(state)
             return []
         service = self._choose_service(state)
         if service is None:
@@ -285,25 +285,25 @@
             return None
         return route.choose_service()
 
-    def _give_up_in_background(self, state: jobstate.JobState) -> None:
+    def _write_expired_in_background(self, state: jobstate.JobState) -> None:
         """Writes error results for an expired job's items, on a pool thread.
 
         While the store is unavailable, a result cannot be written. The
         scheduling thread would wait for it and start no item of other jobs.
         """
-        if not state.is_giving_up:
-            state.is_giving_up = True
-            self._pool.submit(self._write_given_up, state)
+        if not state.is_writing_expired:
+            state.is_writing_expired = True
+            self._pool.submit(self._write_expired, state)
 
-    def _write_given_up(self, state: jobstate.JobState) -> None:
+    def _write_expired(self, state: jobstate.JobState) -> None:
         try:
-            while (item := state.any_item()) is not None:
+            while (item := state.take_first_pending()) is not None:
                 row = item.errored()
                 self._writer.write(state, item, row, "too old")
                 if state.is_dropped:
                     return
         finally:
-            state.is_giving_up = False
+            state.is_writing_expired = False
 
     def _run(
         self,
@@ -383,7 +383,7 @@
                 if event.data is not None:
                     item.output.append(event.data)
             answer.allow_silence(_MAX_CHUNK_GAP_S)
-            item.breaks = 0
+            item.consecutive_pauses = 0
             self._placement.health.record_data(slot.upstream.instance)
             if state.is_dropped:
                 return
@@ -395,7 +395,7 @@
             return
         answer.close()
         slot.release()
-        took_s = item.done_s(time.monotonic())
+        took_s = item.elapsed_s(time.monotonic())
         self._mean_run_s += (took_s - self._mean_run_s) * _RUN_WEIGHT
         self._writer.write(state, item, item.completed(), "")
 
--- a/packages/gateway/gateway/takeover.py
+++ b/packages/gateway/gateway/takeover.py
@@ -40,11 +40,11 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobstore.JobStore,
+        job_store: jobstore.JobStore,
         vms: members.Members,
     ) -> None:
         self._store = store
-        self._book = book
+        self._job_store = job_store
         self._members = vms
         self._vm = vms.own().vm
 
@@ -59,7 +59,7 @@
             `unavailable` or `unknown` if the store failed or this VM has no
             lease.
         """
-        keys, lease = self._book.keys, self._members.lease()
+        keys, lease = self._job_store.keys, self._members.lease()
         if not lease:
             return result.Err(jobmessages.JobError("unavailable", "no lease"))
         opened = self._store.get(keys.open_job(job), _READ_TIMEOUT_S)
@@ -69,7 +69,7 @@
         entry = opened.unwrap()
         if entry is None:
             return result.Err(jobmessages.JobError("missing", "not open"))
-        made = self._book.commit(
+        made = self._job_store.commit(
             (
                 dialect_lib.Expected(keys.claim(job), 0),
                 dialect_lib.Expected(keys.open_job(job), entry.revision),
@@ -89,8 +89,11 @@
         Returns:
             The new claim; `None` if the claim has changed or the store failed.
         """
-        key, lease = self._book.keys.claim(claim.job), self._members.lease()
-        made = self._book.commit(
+        key, lease = (
+            self._job_store.keys.claim(claim.job),
+            self._members.lease(),
+        )
+        made = self._job_store.commit(
             (dialect_lib.Expected(key, claim.revision),),
             (self._claim_write(claim.job, lease),),
             (),
@@ -101,13 +104,13 @@
 
     def _claim_write(self, job: str, lease: int) -> dialect_lib.Write:
         claim = jobrecords.pack(jobrecords.Claim(self._vm))
-        return dialect_lib.Write(self._book.keys.claim(job), claim, lease)
+        return dialect_lib.Write(self._job_store.keys.claim(job), claim, lease)
 
     def _read_own_claim(
         self, job: str
     ) -> result.Result[jobstate.HeldClaim, jobmessages.JobError]:
         """Returns this VM's claim if an earlier write of it went unanswered."""
-        got = self._store.get(self._book.keys.claim(job), _READ_TIMEOUT_S)
+        got = self._store.get(self._job_store.keys.claim(job), _READ_TIMEOUT_S)
         if got.is_err():
             message = got.unwrap_err().message
             return result.Err(jobmessages.JobError("unavailable", message))
@@ -138,7 +141,7 @@
     def __init__(
         self,
         store: dialect_lib.Store,
-        book: jobstore.JobStore,
+        job_store: jobstore.JobStore,
         listing: joblisting.JobListing,
         vms: members.Members,
         table: jobstate.JobTable,
@@ -146,7 +149,7 @@
         on_job: Callable[[str], None],
     ) -> None:
         self._store = store
-        self._book = book
+        self._job_store = job_store
         self._listing = listing
         self._members = vms
         self._vm = vms.own().vm
@@ -190,7 +193,7 @@
             return
         open_jobs = set(rows.open_jobs)
         for job in own - open_jobs:
-            if self._table.added_s(job) < read_s:
+            if self._table.added_at_s(job) < read_s:
                 self._drop_if_closed(job)
         self._resume_forgotten(rows, open_jobs, read_s)
         for job in open_jobs - rows.holders().keys() - own:
@@ -214,7 +217,7 @@
         for claim in rows.held_by(self._vm):
             if claim.job not in open_jobs or self._table.get(claim.job):
                 continue
-            if self._table.removed_s(claim.job) < read_s:
+            if self._table.removed_at_s(claim.job) < read_s:
                 _events.warning("forgotten", job=claim.job)
                 self._renew_and_run(claim)
 
@@ -264,7 +267,9 @@
             self._run_claimed_job(_ClaimedJob(claim.job, renewed))
 
     def _drop_if_closed(self, job: str) -> None:
-        got = self._store.get(self._book.keys.open_job(job), _READ_TIMEOUT_S)
+        got = self._store.get(
+            self._job_store.keys.open_job(job), _READ_TIMEOUT_S
+        )
         is_ended = got.is_ok() and got.unwrap() is None
         if is_ended and self._table.remove(job):
             _events.info("dropped", job=job, why="it is not open any more")
@@ -298,12 +303,12 @@
             self._close_finished(state)
 
     def _read_job(self, claimed: _ClaimedJob) -> jobstate.JobState | None:
-        meta = self._book.meta(claimed.job)
+        meta = self._job_store.meta(claimed.job)
         if meta.is_err():
             return None
-        items = self._book.read_items(meta.unwrap())
-        listed = self._book.results(claimed.job)
-        key = self._book.keys.progress(claimed.job)
+        items = self._job_store.read_items(meta.unwrap())
+        listed = self._job_store.read_results(claimed.job)
+        key = self._job_store.keys.progress(claimed.job)
         progress = self._store.get(key, _READ_TIMEOUT_S)
         if items.is_err() or listed.is_err() or progress.is_err():
             return None
@@ -312,14 +317,14 @@
         )
         entry = progress.unwrap()
         if entry is not None and entry.value is not None:
-            state.go_on_from(jobrecords.unpack_progress(entry.value))
+            state.restore_progress(jobrecords.unpack_progress(entry.value))
         return state
 
     def _close_finished(self, state: jobstate.JobState) -> None:
         """Closes a job whose results have all been written."""
-        keys, job = self._book.keys, state.meta.job
+        keys, job = self._job_store.keys, state.meta.job
         expected = dialect_lib.Expected(keys.claim(job), state.claim.revision)
-        self._book.commit(
+        self._job_store.commit(
             (expected,), (), (keys.open_job(job), keys.claim(job))
         )
         self._table.remove(job)
--- a/tests/gateway/test_backlogs.py
+++ b/tests/gateway/test_backlogs.py
@@ -56,12 +56,12 @@
         kernel = kernel_lib.Kernel()
         kernel.offer(names.STORE, self.client)
         kernel.offer(names.DIALECT, wire.Dialect())
-        book = jobstore.JobStore(kernel)
-        book.start()
-        kernel.offer(names.JOB_STORE, book)
+        job_store = jobstore.JobStore(kernel)
+        job_store.start()
+        kernel.offer(names.JOB_STORE, job_store)
         self.listing = joblisting.JobListing(kernel)
         self.listing.start()
-        self._backlogs = backlogs.Backlogs(self.client, book, self.listing)
+        self._backlogs = backlogs.Backlogs(self.client, job_store, self.listing)
 
     def accept(
         self, job: str, tokens: int, bound: int = _BOUND
@@ -69,17 +69,18 @@
         meta = jobrecords.JobMeta(
             job, "c", "h", "/b/", 1, ("i",), 1, 3, 60.0, 18.0, "backlog"
         )
-        change = backlogs.Change(
+        acceptance = backlogs.JobAcceptance(
             meta,
             dialect.Expected(_KEYS.meta(job), 0),
             (
                 dialect.Write(_KEYS.meta(job), jobrecords.pack(meta)),
                 dialect.Write(
-                    _KEYS.open_job(job), jobrecords.pack(meta.opened(tokens))
+                    _KEYS.open_job(job),
+                    jobrecords.pack(meta.open_record(tokens)),
                 ),
             ),
         )
-        return self._backlogs.accept(change, backlog.Demand(tokens, bound))
+        return self._backlogs.accept(acceptance, backlog.Demand(tokens, bound))
 
 
 def _waiting_tokens(store: gatewaystore.MemoryStore) -> int:
--- a/tests/gateway/test_jobdirectory.py
+++ b/tests/gateway/test_jobdirectory.py
@@ -137,11 +137,11 @@
     again that it had just finished.
     """
     table = jobstate.JobTable()
-    assert table.added_s("j") == table.removed_s("j")
+    assert table.added_at_s("j") == table.removed_at_s("j")
     table.add(_state("j"))
-    assert table.added_s("j") > table.removed_s("j")
+    assert table.added_at_s("j") > table.removed_at_s("j")
     table.remove("j")
-    assert table.added_s("j") < table.removed_s("j")
+    assert table.added_at_s("j") < table.removed_at_s("j")
 
 
 def test_scans_make_no_calls_for_changes_newer_than_the_listing(
@@ -149,15 +149,15 @@
 ) -> None:
     scene.add_engine()
     vm = scene.add_vm()
-    book = vm.kernel.find(names.JOB_STORE, jobstore.JobStore)
+    job_store = vm.kernel.find(names.JOB_STORE, jobstore.JobStore)
     for number in range(6):
         job = f"scan{number}"
         assert vm.submit(job, _items(2)).status == 202
         _finish(vm, job, 2)
-    assert vm.client.about(book.keys.open_job("scan")) == 0
+    assert vm.client.about(job_store.keys.open_job("scan")) == 0
     claims = [
         row
         for row in scene.store.events
-        if row.key.startswith(book.keys.claims) and row.value is not None
+        if row.key.startswith(job_store.keys.claims) and row.value is not None
     ]
     assert len(claims) == 6
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -258,7 +258,7 @@
     monkeypatch.setattr(placed, "take_batch", take)
     job_runner = vm.kernel.find("runner", runner.Runner)
     assert len(job_runner.dump()) == 6
-    job_runner.feed()
+    job_runner.schedule()
     assert len(asked) == 1
 
 
--- a/tests/gateway/test_jobstate.py
+++ b/tests/gateway/test_jobstate.py
@@ -68,15 +68,15 @@
     """
     state = _state(10)
     item = _take(state)
-    state.note_listed(item)
+    state.mark_listed(item)
     state.put_back(item)
     assert state.count_pending() == 1
     assert state.next_position == 1
     last = _take(state)
-    assert state.is_last()
+    assert state.has_one_unfinished_item()
     state.put_back(last)
-    assert not state.is_last()
-    assert state.unlisted() == [last]
+    assert not state.has_one_unfinished_item()
+    assert state.without_result() == [last]
 
 
 def test_an_item_that_cannot_be_in_time_waits_for_others() -> None:
@@ -102,7 +102,7 @@
     item = _take(_state(10))
     item.begin(0.0)
     item.end(3.0)
-    assert item.done_s(3.0) == 0.0
+    assert item.elapsed_s(3.0) == 0.0
 
 
 def test_progress_on_another_vm_counts_after_a_takeover() -> None:
@@ -115,8 +115,8 @@
     item = _take(before)
     item.output.append("data 1")
     item.ran_s = 4.0
-    after.go_on_from((item.progress(),))
-    assert [row.done_s(20.0) for row in after.ready(_at(20.0))] == [4.0, 0.0]
+    after.restore_progress((item.progress(),))
+    assert [row.elapsed_s(20.0) for row in after.ready(_at(20.0))] == [4.0, 0.0]
 
 
 def test_an_item_that_waited_long_is_not_ranked_last_forever() -> None:
--- a/tests/gateway/test_storereaders.py
+++ b/tests/gateway/test_storereaders.py
@@ -181,7 +181,7 @@
     opened = jobrecords.pack(jobrecords.OpenJob(0))
     scene.store.write(keys.open_job("j1"), opened)
     gatewayscene.until(lambda: keys.claim("j1") in scene.store.rows)
-    holder = jobrecords.holder(scene.store.rows[keys.claim("j1")].value)
+    holder = jobrecords.claim_holder(scene.store.rows[keys.claim("j1")].value)
     assert holder in {vm.name for vm in vms if vm not in readers}
 
 
