--- a/packages/core/bulrushdeal/eventlog.py
+++ b/packages/core/bulrushdeal/eventlog.py
@@ -24,7 +24,7 @@
 _lost_lines: collections.Counter[str] = collections.Counter()
 
 
-def lost() -> Mapping[str, int]:
+def lost_lines() -> Mapping[str, int]:
     """Returns the lines dropped since the process started, by event."""
     return dict(_lost_lines)
 
@@ -132,7 +132,7 @@
         """Logs a problem that the system handles but operators should see."""
         self._emit(logging.WARNING, event, fields)
 
-    def good_end(self, event: str, **fields: Any) -> None:
+    def sampled_info(self, event: str, **fields: Any) -> None:
         """Logs a routine success; the rate of these lines is limited."""
         skipped = self._success_sampler.take()
         if skipped is None:
--- a/packages/core/bulrushdeal/httpd.py
+++ b/packages/core/bulrushdeal/httpd.py
@@ -87,7 +87,7 @@
     )
 
 
-def close(body: Iterable[bytes]) -> None:
+def close_body(body: Iterable[bytes]) -> None:
     """Closes a response body if it has a `close` method."""
     closer = getattr(body, "close", None)
     if closer is not None:
@@ -189,7 +189,7 @@
         )
         self._thread.start()
 
-    def bound(self, max_header_bytes: int, idle_s: float) -> None:
+    def set_limits(self, max_header_bytes: int, idle_s: float) -> None:
         """Sets the limits of all connections, including open ones.
 
         Args:
@@ -219,6 +219,6 @@
         except Exception:
             # A header is invalid. The server will not iterate or close the
             # body, so its resources would never be released.
-            close(response.body)
+            close_body(response.body)
             raise
         return response.body
--- a/packages/core/bulrushdeal/kernel.py
+++ b/packages/core/bulrushdeal/kernel.py
@@ -52,7 +52,7 @@
             raise ValueError(f"service {name} is registered already")
         self._services[name] = service
 
-    def offer(self, name: str, value: object) -> None:
+    def register_object(self, name: str, value: object) -> None:
         """Registers an object that is looked up like a service.
 
         The kernel neither starts nor stops it; the caller must have made it
--- a/packages/daemon/bulrushdeald/callers.py
+++ b/packages/daemon/bulrushdeald/callers.py
@@ -321,7 +321,7 @@
             yield chunk
 
     def close() -> None:
-        httpd.close(response.body)
+        httpd.close_body(response.body)
 
     return response._replace(body=calls.Body(chunks(), close))
 
--- a/packages/daemon/bulrushdeald/calls.py
+++ b/packages/daemon/bulrushdeald/calls.py
@@ -190,6 +190,6 @@
         if on_close is None:
             return
         try:
-            httpd.close(self._chunks)
+            httpd.close_body(self._chunks)
         finally:
             on_close()
--- a/packages/gateway/gateway/assembly.py
+++ b/packages/gateway/gateway/assembly.py
@@ -53,9 +53,9 @@
     """Returns a kernel with all services, registered in dependency order."""
     kernel = kernel_lib.Kernel()
     add = kernel.register
-    kernel.offer(names.DIALECT, dialect)
+    kernel.register_object(names.DIALECT, dialect)
     store_path = storepath.FailoverStore(kernel, store)
-    kernel.offer(names.STORE, store_path)
+    kernel.register_object(names.STORE, store_path)
     add(names.CONFIGURATION, configuration.Feed(kernel))
     add(names.UPSTREAM_LIST, upstreamlist.UpstreamList(kernel))
     add(names.METRICS, metrics.Metrics(kernel, settings))
--- a/packages/gateway/gateway/backlogs.py
+++ b/packages/gateway/gateway/backlogs.py
@@ -46,7 +46,7 @@
     """
 
     meta: jobrecords.JobMeta
-    expected: dialect_lib.Expected
+    expected: dialect_lib.RevisionCondition
     writes: tuple[dialect_lib.Write, ...]
 
 
@@ -138,7 +138,7 @@
         return self._job_store.commit(
             (
                 acceptance.expected,
-                dialect_lib.Expected(key, backlog_count.revision),
+                dialect_lib.RevisionCondition(key, backlog_count.revision),
             ),
             (*acceptance.writes, dialect_lib.Write(key, value)),
             (),
--- a/packages/gateway/gateway/configuration.py
+++ b/packages/gateway/gateway/configuration.py
@@ -191,7 +191,7 @@
             False if the text is malformed; true also if it is not newer.
         """
         try:
-            configuration = self._dialect.configuration(value)
+            configuration = self._dialect.decode_configuration(value)
         except dialect_lib.BadInputError as error:
             _events.warning("refused", source=source, why=str(error))
             return False
@@ -235,7 +235,7 @@
         Returns:
             Whether any watch succeeded.
         """
-        prefix = self._dialect.names.operators
+        prefix = self._dialect.store_keys.operators_prefix
         listed = self._store.list(prefix, "", _CALL_TIMEOUT_S)
         if listed.is_err():
             self._log_store_lost(listed.unwrap_err().message)
@@ -271,10 +271,10 @@
         for entry in entries:
             if entry.value is None:
                 continue
-            if entry.key == self._dialect.names.configuration:
+            if entry.key == self._dialect.store_keys.configuration:
                 self.apply(entry.value, "store")
                 continue
-            vm = self._dialect.retire_request(entry.key)
+            vm = self._dialect.decode_retire_request(entry.key)
             if vm:
                 for callback in self._retire_callbacks:
                     callback(vm)
--- a/packages/gateway/gateway/dialect.py
+++ b/packages/gateway/gateway/dialect.py
@@ -36,13 +36,14 @@
         key: The key.
         value: Its value; `None` if the key was deleted.
         revision: The store's revision at which the key last changed.
-        created: The revision at which the key was created; 0 if unknown.
+        create_revision: The revision at which the key was created; 0 if
+            unknown.
     """
 
     key: str
     value: bytes | None
     revision: int
-    created: int = 0
+    create_revision: int = 0
 
 
 class Page(NamedTuple):
@@ -59,7 +60,7 @@
     revision: int
 
 
-class Expected(NamedTuple):
+class RevisionCondition(NamedTuple):
     """A condition of a commit: a key's revision, 0 if the key is absent."""
 
     key: str
@@ -93,12 +94,12 @@
     Attributes:
         call: The name of the `Store` method.
         outcome: An HTTP status, or why there is none.
-        made: The number of calls.
+        call_count: The number of calls.
     """
 
     call: str
     outcome: str
-    made: int
+    call_count: int
 
 
 class Store(Protocol):
@@ -136,7 +137,7 @@
 
     def commit(
         self,
-        expected: tuple[Expected, ...],
+        expected: tuple[RevisionCondition, ...],
         writes: tuple[Write, ...],
         deletes: tuple[str, ...],
         timeout_s: float,
@@ -183,7 +184,7 @@
     parts: tuple[str, ...]
 
 
-class CallerHead(NamedTuple):
+class CallerHeaders(NamedTuple):
     """The decoded headers of a caller's request.
 
     Attributes:
@@ -210,22 +211,22 @@
     slots: int
 
 
-class AnswerHead(NamedTuple):
+class AnswerHeaders(NamedTuple):
     """The decoded headers of an upstream's answer.
 
     Attributes:
         attempt: The id of the attempt that it answers; empty if not given.
-        has_not_run: Whether the upstream guarantees that it did not execute
-            the request.
-        is_signed: Whether the answer bears the upstream's own stamp.
-        is_other: Whether the address now belongs to another instance.
+        is_not_executed: Whether the upstream guarantees that it did not
+            execute the request.
+        has_server_stamp: Whether the answer bears the upstream's own stamp.
+        is_misdirected: Whether the address now belongs to another instance.
         load: The upstream's load; `None` if not given or unreadable.
     """
 
     attempt: str
-    has_not_run: bool
-    is_signed: bool
-    is_other: bool
+    is_not_executed: bool
+    has_server_stamp: bool
+    is_misdirected: bool
     load: Load | None
 
 
@@ -304,7 +305,9 @@
 class Dialect(Protocol):
     """The platform's encodings, for callers, upstreams and operators."""
 
-    def caller_head(self, headers: Mapping[str, str]) -> CallerHead:
+    def decode_caller_headers(
+        self, headers: Mapping[str, str]
+    ) -> CallerHeaders:
         """Decodes a caller's headers, whose names are in lower case.
 
         Raises:
@@ -336,26 +339,26 @@
     def item_headers(self, item: JobItem, host: str) -> dict[str, str]:
         """Returns the headers of a batch item as a caller would send them."""
 
-    def answer_head(
+    def decode_answer_headers(
         self, status: int, headers: tuple[tuple[str, str], ...]
-    ) -> AnswerHead:
+    ) -> AnswerHeaders:
         """Decodes the status and headers of an upstream's answer."""
 
-    def configuration(self, value: bytes) -> records.Configuration:
+    def decode_configuration(self, value: bytes) -> records.Configuration:
         """Decodes the operators' configuration.
 
         Raises:
             BadInputError: It is malformed.
         """
 
-    def upstream(self, key: str, value: bytes) -> records.Upstream:
+    def decode_upstream(self, key: str, value: bytes) -> records.Upstream:
         """Decodes an upstream's entry.
 
         Raises:
             BadInputError: It is malformed.
         """
 
-    def retire_request(self, key: str) -> str:
+    def decode_retire_request(self, key: str) -> str:
         """Returns the VM that the operators want to retire.
 
         Returns:
@@ -363,17 +366,17 @@
             key is no such request.
         """
 
-    def retire_status(self, vm: str) -> Write:
+    def retired_write(self, vm: str) -> Write:
         """Returns the write that reports to operators that a VM is empty."""
 
-    def submission(self, body: bytes) -> Submission:
+    def decode_submission(self, body: bytes) -> Submission:
         """Decodes the body that submits a batch job.
 
         Raises:
             BadInputError: It is malformed.
         """
 
-    def job_call(
+    def decode_job_call(
         self, method: str, path: str, query: str, headers: Mapping[str, str]
     ) -> JobCall | None:
         """Decodes a call about a batch job; `None` for any other request.
@@ -382,25 +385,25 @@
             BadInputError: The call is malformed.
         """
 
-    def job_page(self, page: JobPage) -> bytes:
+    def encode_job_page(self, page: JobPage) -> bytes:
         """Encodes one page of a job's results."""
 
     @property
-    def names(self) -> "Names":
+    def store_keys(self) -> "StoreKeys":
         """The keys and prefixes in the store."""
 
 
-class Names(NamedTuple):
+class StoreKeys(NamedTuple):
     """Keys and prefixes in the store.
 
     Attributes:
         configuration: The key of the newest configuration.
-        operators: The prefix of the keys that operators write.
-        upstreams: The prefix of the upstreams' entries.
-        own: The prefix of the keys that this system writes.
+        operators_prefix: The prefix of the keys that operators write.
+        upstreams_prefix: The prefix of the upstreams' entries.
+        own_prefix: The prefix of the keys that this system writes.
     """
 
     configuration: str
-    operators: str
-    upstreams: str
-    own: str
+    operators_prefix: str
+    upstreams_prefix: str
+    own_prefix: str
--- a/packages/gateway/gateway/eventstream.py
+++ b/packages/gateway/gateway/eventstream.py
@@ -10,11 +10,11 @@
     """One server-sent event.
 
     Attributes:
-        number: The id; `None` if it is missing or not a number.
+        event_id: The id; `None` if it is missing or not a number.
         data: The data lines joined by line feeds; `None` if there are none.
     """
 
-    number: int | None
+    event_id: int | None
     data: str | None
 
 
@@ -34,7 +34,7 @@
         self._partial = b""
 
     @property
-    def has_part(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an incomplete event is buffered."""
         return bool(self._partial.strip())
 
@@ -75,13 +75,13 @@
 
 
 def _parse_event(part: bytes) -> Event:
-    number: int | None = None
+    event_id: int | None = None
     data: list[str] = []
     for line in part.split(b"\n"):
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"id" and value.strip().isdigit():
-            number = int(value)
+            event_id = int(value)
         if name == b"data":
             data.append(value.decode("utf-8", "surrogateescape"))
-    return Event(number, "\n".join(data) if data else None)
+    return Event(event_id, "\n".join(data) if data else None)
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -49,7 +49,7 @@
             `None` to start from the beginning.
     """
 
-    outgoing: upstreamsender.Outgoing
+    outgoing: upstreamsender.UpstreamRequest
     route: records.Route
     service: str
     last_event: int | None
@@ -167,9 +167,9 @@
             sent = self._sender.send(
                 self._request.outgoing,
                 slot,
-                left_s=self._call.caller_remaining_s(),
-                silence_s=self._silence_s(slot),
-                last_event=self._last_event,
+                deadline_s=self._call.caller_remaining_s(),
+                max_silence_s=self._silence_s(slot),
+                last_event_id=self._last_event,
                 on_open=self._call.on_end,
             )
             if isinstance(sent, result.Ok):
@@ -211,7 +211,7 @@
     def _may_run_again(self, extra_runs: int = 0) -> bool:
         """Returns whether it may run once more after `extra_runs` more runs."""
         runs = self._call.runs + extra_runs
-        return self._route.may_repeat and runs < self._route.max_attempts
+        return self._route.is_repeatable and runs < self._route.max_attempts
 
     def _record_failure(self, failure: upstreamsender.Failure) -> None:
         slot = self._slot
@@ -375,7 +375,7 @@
                     if event_id is not None:
                         self._last_event = event_id
                     yield whole_events
-            if error is None and not splitter.has_part:
+            if error is None and not splitter.has_partial_event:
                 self._call.mark_answered()
                 self._close_answer()
                 return
@@ -449,7 +449,7 @@
             tried=self._tried_instances,
             occupancy=self._occupancy(),
         )
-        return refusals.refusal(refusal)
+        return refusals.refusal_response(refusal)
 
     def _occupancy(self) -> Mapping[str, float]:
         """Returns the engines' occupancy as their leader reported it."""
--- a/packages/gateway/gateway/front.py
+++ b/packages/gateway/gateway/front.py
@@ -83,7 +83,7 @@
             self._settings.callers_address,
             self._serve,
             _CALLER_THREADS,
-            refusals.refusal(_BUSY),
+            refusals.refusal_response(_BUSY),
         )
         self._feed.on_change(self._apply_connection_limits)
         self._apply_connection_limits()
@@ -108,10 +108,10 @@
         active = self._feed.current()
         if active is None:
             return
-        bounds = active.configuration.bounds
-        previous_s, self._idle_s = self._idle_s, bounds.idle_timeout_s
-        self._server.bound(
-            bounds.max_header_bytes, max(previous_s, bounds.idle_timeout_s)
+        limits = active.configuration.caller_limits
+        previous_s, self._idle_s = self._idle_s, limits.idle_timeout_s
+        self._server.set_limits(
+            limits.max_header_bytes, max(previous_s, limits.idle_timeout_s)
         )
 
     def stop(self, grace_s: float) -> None:
@@ -165,7 +165,9 @@
 
     def _serve_ready(self, request: httpd.Request) -> httpd.Response:
         if request.path != _READY_PATH:
-            return refusals.refusal(refusals.Refusal(404, "no such path"))
+            return refusals.refusal_response(
+                refusals.Refusal(404, "no such path")
+            )
         status = 200 if self.is_ready() else 503
         return httpd.json_response(status, {"state": self._state})
 
@@ -174,7 +176,7 @@
             response = self._respond(request)
         except Exception:  # noqa: BLE001 - the caller gets a 500.
             _log.exception("Unhandled exception while serving a request.")
-            response = refusals.refusal(_INTERNAL_ERROR)
+            response = refusals.refusal_response(_INTERNAL_ERROR)
         self._metrics.count_answer(response.status)
         if self._state == "serving" and not self._placement.is_partitioned():
             return response
@@ -186,14 +188,14 @@
     def _respond(self, request: httpd.Request) -> httpd.Response:
         active = self._feed.current()
         if active is None:
-            return refusals.refusal(_NO_CONFIGURATION)
+            return refusals.refusal_response(_NO_CONFIGURATION)
         try:
-            head = self._dialect.caller_head(request.headers)
-            job_call = self._dialect.job_call(
+            head = self._dialect.decode_caller_headers(request.headers)
+            job_call = self._dialect.decode_job_call(
                 request.method, request.path, request.query, request.headers
             )
         except dialect_lib.BadInputError as error:
-            return refusals.refusal(refusals.Refusal(400, str(error)))
+            return refusals.refusal_response(refusals.Refusal(400, str(error)))
         host = request.headers.get("host", "")
         if job_call is not None and active.has_host(host):
             return self._serve_job_call(active, head, job_call)
@@ -206,19 +208,21 @@
                 path=request.path,
                 version=active.version,
             )
-            return refusals.refusal(refusals.Refusal(404, "no such route"))
+            return refusals.refusal_response(
+                refusals.Refusal(404, "no such route")
+            )
         customer = self._authenticate(active, head, route)
         if isinstance(customer, refusals.Refusal):
             _events.warning(
                 "unauthorized", request=head.attempt, version=active.version
             )
-            return refusals.refusal(customer)
+            return refusals.refusal_response(customer)
         return self._serve_route(request, active, head, route, customer)
 
     def _authenticate(
         self,
         active: configuration.ActiveConfiguration,
-        head: dialect_lib.CallerHead,
+        head: dialect_lib.CallerHeaders,
         route: records.Route | None,
     ) -> records.Customer | refusals.Refusal | None:
         if not active.has_customers or (route is not None and route.is_public):
@@ -231,12 +235,12 @@
     def _serve_job_call(
         self,
         active: configuration.ActiveConfiguration,
-        head: dialect_lib.CallerHead,
+        head: dialect_lib.CallerHeaders,
         job_call: dialect_lib.JobCall,
     ) -> httpd.Response:
         customer = self._authenticate(active, head, None)
         if isinstance(customer, refusals.Refusal):
-            return refusals.refusal(customer)
+            return refusals.refusal_response(customer)
         name = "" if customer is None else customer.name
         call = opencalls.Call(head.attempt, time.monotonic(), None)
         self._open_calls.add(call)
@@ -249,7 +253,7 @@
         self,
         request: httpd.Request,
         active: configuration.ActiveConfiguration,
-        head: dialect_lib.CallerHead,
+        head: dialect_lib.CallerHeaders,
         route: records.Route,
         customer: records.Customer | None,
     ) -> httpd.Response:
@@ -274,18 +278,18 @@
         self,
         request: httpd.Request,
         active: configuration.ActiveConfiguration,
-        head: dialect_lib.CallerHead,
+        head: dialect_lib.CallerHeaders,
         route: records.Route,
         customer: records.Customer | None,
         call: opencalls.Call,
     ) -> httpd.Response:
         body = bodies.read_whole(
-            request, active.configuration.bounds.max_body_bytes
+            request, active.configuration.caller_limits.max_body_bytes
         )
         name = "" if customer is None else customer.name
         if isinstance(body, result.Err):
             refused = body.err_value
-            response = refusals.refusal(
+            response = refusals.refusal_response(
                 refusals.Refusal(refused.status, refused.message)
             )
         elif route.kind == "batch":
@@ -293,7 +297,7 @@
                 head.attempt, name, route, request.path, body.ok_value
             )
         else:
-            outgoing = upstreamsender.Outgoing(
+            outgoing = upstreamsender.UpstreamRequest(
                 head.attempt,
                 request.method,
                 request.target or request.path,
@@ -310,15 +314,15 @@
     def _forward_online(
         self,
         request: httpd.Request,
-        head: dialect_lib.CallerHead,
+        head: dialect_lib.CallerHeaders,
         route: records.Route,
         customer: records.Customer | None,
         call: opencalls.Call,
-        outgoing: upstreamsender.Outgoing,
+        outgoing: upstreamsender.UpstreamRequest,
     ) -> httpd.Response:
         if not head.attempt:
             self._open_calls.remove(call)
-            return refusals.refusal(
+            return refusals.refusal_response(
                 refusals.Refusal(400, "the request has no attempt id")
             )
         cancel_deadline = self._deadlines.add(
@@ -351,8 +355,8 @@
         route: records.Route,
         customer: records.Customer | None,
         call: opencalls.Call,
-        head: dialect_lib.CallerHead,
-        outgoing: upstreamsender.Outgoing,
+        head: dialect_lib.CallerHeaders,
+        outgoing: upstreamsender.UpstreamRequest,
     ) -> httpd.Response:
         service = route.choose_service() or route.services[0].service
         if not self._placement.has_upstreams(service):
@@ -363,18 +367,18 @@
                 why="no upstream",
                 list_age_s=round(self._upstream_list.age_s(), 3),
             )
-            return refusals.refusal(_NO_UPSTREAM)
+            return refusals.refusal_response(_NO_UPSTREAM)
         if customer is not None:
             allowed = self._rates.take(customer)
             if isinstance(allowed, result.Err):
                 denied = allowed.err_value
-                _events.good_end(
+                _events.sampled_info(
                     "over_rate",
                     request=call.attempt,
                     customer=customer.name,
                     retry_after_s=round(denied.retry_after_s, 3),
                 )
-                return refusals.refusal(
+                return refusals.refusal_response(
                     refusals.Refusal(
                         429, "over the customer's rate", denied.retry_after_s
                     )
@@ -412,7 +416,7 @@
                 **fields,
             )
             return
-        _events.good_end("answered", **fields)
+        _events.sampled_info("answered", **fields)
 
 
 def _no_op() -> None:
--- a/packages/gateway/gateway/jobfront.py
+++ b/packages/gateway/gateway/jobfront.py
@@ -42,11 +42,13 @@
     ) -> httpd.Response:
         """Accepts a job and answers 202, or refuses it."""
         if not job or "/" in job:
-            return refusals.refusal(refusals.Refusal(400, "the job has no id"))
+            return refusals.refusal_response(
+                refusals.Refusal(400, "the job has no id")
+            )
         try:
-            submission = self._dialect.submission(body)
+            submission = self._dialect.decode_submission(body)
         except dialect_lib.BadInputError as error:
-            return refusals.refusal(refusals.Refusal(400, str(error)))
+            return refusals.refusal_response(refusals.Refusal(400, str(error)))
         accepted = self._jobs.submit(job, customer, route, path, submission)
         if isinstance(accepted, result.Err):
             return _refuse(job, accepted.err_value)
@@ -63,14 +65,14 @@
             body = self._jobs.input(call.job, customer, call.item)
             if isinstance(body, result.Err):
                 return _refuse(call.job, body.err_value)
-            return refusals.whole(
+            return refusals.whole_response(
                 200, "application/octet-stream", body.ok_value
             )
         page = self._jobs.read(call.job, customer, call.after, call.wait_s)
         if isinstance(page, result.Err):
             return _refuse(call.job, page.err_value)
-        data = self._dialect.job_page(page.ok_value)
-        return refusals.whole(200, "application/json", data)
+        data = self._dialect.encode_job_page(page.ok_value)
+        return refusals.whole_response(200, "application/json", data)
 
 
 def _refuse(job: str, error: jobmessages.JobError) -> httpd.Response:
@@ -79,4 +81,6 @@
     retry_s = error.retry_after_s
     if error.kind == "unavailable":
         retry_s = _UNAVAILABLE_RETRY_S
-    return refusals.refusal(refusals.Refusal(status, error.message, retry_s))
+    return refusals.refusal_response(
+        refusals.Refusal(status, error.message, retry_s)
+    )
--- a/packages/gateway/gateway/jobs.py
+++ b/packages/gateway/gateway/jobs.py
@@ -39,7 +39,7 @@
     ) -> None:
         self._kernel = kernel
         self._vm = settings.vm
-        self._value_bytes = int(settings.value_bytes * VALUE_PAYLOAD_SHARE)
+        self._value_bytes = int(settings.max_value_bytes * VALUE_PAYLOAD_SHARE)
 
     def start(self) -> None:
         """Looks up the services that it depends on."""
@@ -146,7 +146,9 @@
         )
         acceptance = backlogs.JobAcceptance(
             meta,
-            dialect_lib.Expected(self._job_store.keys.meta(meta.job), 0),
+            dialect_lib.RevisionCondition(
+                self._job_store.keys.meta(meta.job), 0
+            ),
             self._acceptance_writes(meta, parts, demand.tokens, lease),
         )
         committed = self._backlogs.accept(acceptance, demand)
--- a/packages/gateway/gateway/jobstore.py
+++ b/packages/gateway/gateway/jobstore.py
@@ -58,7 +58,7 @@
         find = self._kernel.find
         self._store = find(names.STORE, dialect_lib.Store)
         dialect = find(names.DIALECT, dialect_lib.Dialect)
-        self.keys = jobrecords.Keys(dialect.names.own)
+        self.keys = jobrecords.Keys(dialect.store_keys.own_prefix)
 
     def stop(self, grace_s: float) -> None:
         """See `kernel.Service`."""
@@ -133,7 +133,7 @@
 
     def commit(
         self,
-        expected: tuple[dialect_lib.Expected, ...],
+        expected: tuple[dialect_lib.RevisionCondition, ...],
         writes: tuple[dialect_lib.Write, ...],
         deletes: tuple[str, ...],
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
--- a/packages/gateway/gateway/members.py
+++ b/packages/gateway/gateway/members.py
@@ -103,7 +103,7 @@
         """Starts the thread that keeps the lease and updates the list."""
         self._store = self._kernel.find(names.STORE, dialect_lib.Store)
         self._dialect = self._kernel.find(names.DIALECT, dialect_lib.Dialect)
-        self._prefix = f"{self._dialect.names.own}members/"
+        self._prefix = f"{self._dialect.store_keys.own_prefix}members/"
         threading.Thread(target=self._run, name="members", daemon=True).start()
 
     def stop(self, grace_s: float) -> None:
--- a/packages/gateway/gateway/metrics.py
+++ b/packages/gateway/gateway/metrics.py
@@ -45,7 +45,7 @@
             labels=["call", "outcome"],
         )
         for row in self._store.counts():
-            calls.add_metric([row.call, row.outcome], row.made)
+            calls.add_metric([row.call, row.outcome], row.call_count)
         yield calls
         held = self._feed.current()
         yield prometheus_core.GaugeMetricFamily(
@@ -78,7 +78,7 @@
             "Lines of the log that found no room.",
             labels=["event"],
         )
-        for event, count in eventlog.lost().items():
+        for event, count in eventlog.lost_lines().items():
             lost.add_metric([event], count)
         yield lost
 
--- a/packages/gateway/gateway/progresswriter.py
+++ b/packages/gateway/gateway/progresswriter.py
@@ -88,7 +88,9 @@
         self, state: jobstate.JobState, deletes: tuple[str, ...]
     ) -> result.Result[int | dialect_lib.Conflict, jobmessages.JobError]:
         keys, job = self._job_store.keys, state.meta.job
-        expected = dialect_lib.Expected(keys.claim(job), state.claim.revision)
+        expected = dialect_lib.RevisionCondition(
+            keys.claim(job), state.claim.revision
+        )
         rows = [item.progress() for item in state.without_result()]
         value = jobrecords.pack_progress(_fit_rows(rows, self._value_bytes))
         write = dialect_lib.Write(keys.progress(job), value)
--- a/packages/gateway/gateway/records.py
+++ b/packages/gateway/gateway/records.py
@@ -6,7 +6,7 @@
 RouteKind = Literal["safe", "unsafe", "streaming", "batch"]
 
 
-class Share(NamedTuple):
+class WeightedService(NamedTuple):
     """A service of a route and its weight in the route's traffic split."""
 
     service: str
@@ -48,7 +48,7 @@
     timeout_s: float
     target_latency_s: float
     priority: int
-    services: tuple[Share, ...]
+    services: tuple[WeightedService, ...]
     max_attempts: int
     is_public: bool
     is_resumable: bool
@@ -60,13 +60,13 @@
 
     def choose_service(self) -> str | None:
         """Returns a random service by weight; `None` if all weights are 0."""
-        weights = [share.weight for share in self.services]
+        weights = [row.weight for row in self.services]
         if sum(weights) <= 0:
             return None
         return random.choices(self.services, weights)[0].service
 
     @property
-    def may_repeat(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind == "safe" or self.is_resumable
 
@@ -100,7 +100,7 @@
     engine: Engine | None
 
 
-class CallerBounds(NamedTuple):
+class CallerLimits(NamedTuple):
     """Limits on what a caller sends and on how long it may be idle."""
 
     max_header_bytes: int
@@ -128,7 +128,7 @@
     version: int
     routes: tuple[Route, ...]
     services: tuple[Service, ...]
-    bounds: CallerBounds
+    caller_limits: CallerLimits
     customers: tuple[Customer, ...]
 
 
@@ -142,7 +142,7 @@
         failure_domain: The failure domain it runs in.
         slots: Requests that it runs at once.
         is_draining: Whether it must not get new requests.
-        born_ms: When it was started, in milliseconds of the epoch; 0 if
+        started_ms: When it was started, in milliseconds of the epoch; 0 if
             unknown.
     """
 
@@ -152,7 +152,7 @@
     failure_domain: str
     slots: int
     is_draining: bool
-    born_ms: int
+    started_ms: int
 
 
 class Settings(NamedTuple):
@@ -169,7 +169,7 @@
         peers_address: The address that other VMs connect to.
         metrics_address: The address that serves metrics; empty for none.
         store_address: The address of the platform's store.
-        value_bytes: The largest value that the store takes.
+        max_value_bytes: The largest value that the store takes.
         min_lease_s: The shortest lease that the store grants.
         grace_s: The time from SIGTERM to SIGKILL.
         limit_slack: Requests beyond a customer's rate and burst that the
@@ -187,7 +187,7 @@
     peers_address: str
     metrics_address: str
     store_address: str
-    value_bytes: int
+    max_value_bytes: int
     min_lease_s: float
     grace_s: float
     limit_slack: float
--- a/packages/gateway/gateway/refusals.py
+++ b/packages/gateway/gateway/refusals.py
@@ -25,7 +25,7 @@
     retry_after_s: float = 0.0
 
 
-def refusal(row: Refusal) -> httpd.Response:
+def refusal_response(row: Refusal) -> httpd.Response:
     """Returns the HTTP response for a refusal."""
     headers: tuple[tuple[str, str], ...] = ()
     if row.retry_after_s > 0:
@@ -34,7 +34,9 @@
     return httpd.json_response(row.status, {"error": row.why}, headers)
 
 
-def whole(status: int, content_type: str, body: bytes) -> httpd.Response:
+def whole_response(
+    status: int, content_type: str, body: bytes
+) -> httpd.Response:
     """Returns a response with the given body."""
     headers = (
         ("Content-Type", content_type),
--- a/packages/gateway/gateway/resultwriter.py
+++ b/packages/gateway/gateway/resultwriter.py
@@ -57,7 +57,7 @@
             with state.list_lock:
                 is_written = self._try_write(state, item, row)
             if is_written:
-                _events.good_end(
+                _events.sampled_info(
                     "listed",
                     job=state.meta.job,
                     item=row.item,
@@ -85,8 +85,10 @@
             writes.append(dialect_lib.Write(keys.open_job(job), opened))
         made = self._job_store.commit(
             (
-                dialect_lib.Expected(key, 0),
-                dialect_lib.Expected(keys.claim(job), state.claim.revision),
+                dialect_lib.RevisionCondition(key, 0),
+                dialect_lib.RevisionCondition(
+                    keys.claim(job), state.claim.revision
+                ),
             ),
             tuple(writes),
             (keys.open_job(job), keys.claim(job)) if is_last else (),
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -68,7 +68,9 @@
         self, kernel: kernel_lib.Kernel, settings: records.Settings
     ) -> None:
         self._kernel = kernel
-        self._value_bytes = int(settings.value_bytes * jobs.VALUE_PAYLOAD_SHARE)
+        self._value_bytes = int(
+            settings.max_value_bytes * jobs.VALUE_PAYLOAD_SHARE
+        )
         self._lock = threading.Lock()
         self._table = jobstate.JobTable()
         self._wake = threading.Event()
@@ -332,7 +334,7 @@
         item: jobstate.ItemState,
         slot: heldslots.Slot,
     ) -> None:
-        outgoing = upstreamsender.Outgoing(
+        outgoing = upstreamsender.UpstreamRequest(
             item.item.item,
             "POST",
             item.item.path,
@@ -343,9 +345,9 @@
         sent = self._sender.send(
             outgoing,
             slot,
-            left_s=-1.0,
-            silence_s=_MAX_SILENCE_S,
-            last_event=item.last_event,
+            deadline_s=-1.0,
+            max_silence_s=_MAX_SILENCE_S,
+            last_event_id=item.last_event,
             on_open=slot.set_cancel_callback,
         )
         if isinstance(sent, result.Err):
@@ -378,8 +380,8 @@
                 why = chunk.err_value.message
                 break
             for event in eventstream.parse(splitter.feed(chunk.ok_value)):
-                if event.number is not None:
-                    item.last_event = event.number
+                if event.event_id is not None:
+                    item.last_event = event.event_id
                 if event.data is not None:
                     item.output.append(event.data)
             answer.allow_silence(_MAX_CHUNK_GAP_S)
@@ -387,7 +389,7 @@
             self._placement.health.record_data(slot.upstream.instance)
             if state.is_dropped:
                 return
-        if why or splitter.has_part:
+        if why or splitter.has_partial_event:
             if not slot.is_preempted:
                 slot.outcome = "failed"
                 item.pause()
--- a/packages/gateway/gateway/storemessages.py
+++ b/packages/gateway/gateway/storemessages.py
@@ -26,7 +26,7 @@
 class Change(NamedTuple):
     """See `dialect.Store.commit`."""
 
-    expected: tuple[dialect.Expected, ...]
+    expected: tuple[dialect.RevisionCondition, ...]
     writes: tuple[dialect.Write, ...]
     deletes: tuple[str, ...]
     timeout_s: float
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -74,7 +74,7 @@
         find = self._kernel.find
         self._members = find(services.MEMBERSHIP, members.Members)
         dialect_ = find(names.DIALECT, dialect.Dialect)
-        self._probe_key = f"{dialect_.names.own}probe"
+        self._probe_key = f"{dialect_.store_keys.own_prefix}probe"
         peers = find(services.PEERS, services.Peers)
         for kind in storemessages.REQUESTS:
             peers.handle(kind, self._serve_peer)
@@ -132,7 +132,7 @@
 
     def commit(
         self,
-        expected: tuple[dialect.Expected, ...],
+        expected: tuple[dialect.RevisionCondition, ...],
         writes: tuple[dialect.Write, ...],
         deletes: tuple[str, ...],
         timeout_s: float,
--- a/packages/gateway/gateway/takeover.py
+++ b/packages/gateway/gateway/takeover.py
@@ -71,8 +71,10 @@
             return result.Err(jobmessages.JobError("missing", "not open"))
         made = self._job_store.commit(
             (
-                dialect_lib.Expected(keys.claim(job), 0),
-                dialect_lib.Expected(keys.open_job(job), entry.revision),
+                dialect_lib.RevisionCondition(keys.claim(job), 0),
+                dialect_lib.RevisionCondition(
+                    keys.open_job(job), entry.revision
+                ),
             ),
             (self._claim_write(job, lease),),
             (),
@@ -94,7 +96,7 @@
             self._members.lease(),
         )
         made = self._job_store.commit(
-            (dialect_lib.Expected(key, claim.revision),),
+            (dialect_lib.RevisionCondition(key, claim.revision),),
             (self._claim_write(claim.job, lease),),
             (),
         )
@@ -323,7 +325,9 @@
     def _close_finished(self, state: jobstate.JobState) -> None:
         """Closes a job whose results have all been written."""
         keys, job = self._job_store.keys, state.meta.job
-        expected = dialect_lib.Expected(keys.claim(job), state.claim.revision)
+        expected = dialect_lib.RevisionCondition(
+            keys.claim(job), state.claim.revision
+        )
         self._job_store.commit(
             (expected,), (), (keys.open_job(job), keys.claim(job))
         )
--- a/packages/gateway/gateway/upstreamlist.py
+++ b/packages/gateway/gateway/upstreamlist.py
@@ -122,7 +122,7 @@
         self._last_read_failed = False
 
     def _read(self) -> dict[str, records.Upstream] | None:
-        prefix = self._dialect.names.upstreams
+        prefix = self._dialect.store_keys.upstreams_prefix
         listed = paging.read_all(self._store, prefix, _CALL_TIMEOUT_S)
         if listed.is_err():
             return None
@@ -133,7 +133,7 @@
         if entry.value is None:
             return None
         try:
-            row = self._dialect.upstream(entry.key, entry.value)
+            row = self._dialect.decode_upstream(entry.key, entry.value)
         except dialect_lib.BadInputError as error:
             if self._rejected.get(entry.key) != entry.value:
                 self._rejected[entry.key] = entry.value
--- a/packages/gateway/gateway/upstreamsender.py
+++ b/packages/gateway/gateway/upstreamsender.py
@@ -29,7 +29,7 @@
 )
 
 
-class Outgoing(NamedTuple):
+class UpstreamRequest(NamedTuple):
     """A request to send, independent of the upstream.
 
     Attributes:
@@ -72,7 +72,7 @@
     """An answer whose head was read and accepted; the body is still open."""
 
     answer: services.UpstreamAnswer
-    head: dialect_lib.AnswerHead
+    head: dialect_lib.AnswerHeaders
 
 
 class Sender:
@@ -85,12 +85,12 @@
 
     def send(
         self,
-        outgoing: Outgoing,
+        outgoing: UpstreamRequest,
         slot: heldslots.Slot,
         *,
-        left_s: float,
-        silence_s: float,
-        last_event: int | None,
+        deadline_s: float,
+        max_silence_s: float,
+        last_event_id: int | None,
         on_open: Callable[[Callable[[], None]], None],
     ) -> result.Result[OpenAnswer, Failure]:
         """Sends a request and reads the head of the answer.
@@ -100,11 +100,11 @@
         Args:
             outgoing: The request.
             slot: The slot on the upstream to send to.
-            left_s: The deadline in seconds to state to the upstream; negative
-                for none.
-            silence_s: The longest time in seconds without a byte, before and
-                after the head.
-            last_event: The id of the event after which to resume a stream;
+            deadline_s: The deadline in seconds to state to the upstream;
+                negative for none.
+            max_silence_s: The longest time in seconds without a byte, before
+                and after the head.
+            last_event_id: The id of the event after which to resume a stream;
                 `None` to start from the beginning.
             on_open: Called with a function that cancels the send and may be
                 called from any thread.
@@ -115,10 +115,10 @@
         upstream = slot.upstream
         headers = self._dialect.upstream_headers(
             outgoing.headers,
-            left_s=left_s,
+            left_s=deadline_s,
             instance=upstream.instance,
             customer=outgoing.customer,
-            last_event=last_event,
+            last_event=last_event_id,
         )
         target = core_records.Upstream(
             upstream.instance,
@@ -133,7 +133,7 @@
             outgoing.target,
             headers,
             outgoing.body,
-            silence_s,
+            max_silence_s,
             on_open=on_open,
         )
         if isinstance(sent, result.Err):
@@ -165,11 +165,13 @@
 
     def _check_answer(
         self,
-        outgoing: Outgoing,
+        outgoing: UpstreamRequest,
         upstream: records.Upstream,
         answer: services.UpstreamAnswer,
     ) -> result.Result[OpenAnswer, Failure]:
-        head = self._dialect.answer_head(answer.status, answer.headers)
+        head = self._dialect.decode_answer_headers(
+            answer.status, answer.headers
+        )
         if head.attempt and head.attempt != outgoing.attempt:
             # This is a second answer to an earlier request on the connection.
             # The answer to this request may follow, so the connection is
@@ -177,15 +179,15 @@
             answer.cancel()
             answer.close()
             return _broken("the answer belongs to another request")
-        if head.has_not_run:
+        if head.is_not_executed:
             why = f"status {answer.status}, not run"
-            if head.is_other:
+            if head.is_misdirected:
                 self._placement.health.record_failure(upstream.instance, why)
             _read_to_end(answer)
             return result.Err(Failure("rejected", False, why))
         self._placement.health.record_data(upstream.instance)
         self._placement.health.record_success(upstream.instance)
-        if answer.status in _NOT_EXECUTED_STATUSES or not head.is_signed:
+        if answer.status in _NOT_EXECUTED_STATUSES or not head.has_server_stamp:
             # The answer is not relayed. Its status may read as a guarantee
             # that the request did not run, which the upstream did not give, or
             # an unsigned answer may pass for one by the upstream.
--- a/packages/gateway/gateway/vmretirement.py
+++ b/packages/gateway/gateway/vmretirement.py
@@ -63,7 +63,7 @@
                 pause.wait(_MAX_RETRY_PAUSE_S * random.uniform(0.5, 1.0))
 
     def _confirm(self, vm: str) -> bool:
-        write = self._dialect.retire_status(vm)
+        write = self._dialect.retired_write(vm)
         got = self._store.get(write.key, _CALL_TIMEOUT_S)
         if got.is_err():
             return False
@@ -72,7 +72,7 @@
             return True
         revision = 0 if entry is None else entry.revision
         made = self._store.commit(
-            (dialect_lib.Expected(write.key, revision),),
+            (dialect_lib.RevisionCondition(write.key, revision),),
             (write,),
             (),
             _CALL_TIMEOUT_S,
--- a/tests/gateway/test_backlogs.py
+++ b/tests/gateway/test_backlogs.py
@@ -24,7 +24,7 @@
 from support import gatewaystore
 
 _BOUND = 100
-_PREFIX = wire.Dialect().names.own
+_PREFIX = wire.Dialect().store_keys.own_prefix
 _KEYS = jobrecords.Keys(_PREFIX)
 
 
@@ -37,7 +37,7 @@
 
     def commit(
         self,
-        expected: tuple[dialect.Expected, ...],
+        expected: tuple[dialect.RevisionCondition, ...],
         writes: tuple[dialect.Write, ...],
         deletes: tuple[str, ...],
         timeout_s: float,
@@ -54,11 +54,11 @@
     def __init__(self, store: gatewaystore.MemoryStore) -> None:
         self.client = _RacingClient(store)
         kernel = kernel_lib.Kernel()
-        kernel.offer(names.STORE, self.client)
-        kernel.offer(names.DIALECT, wire.Dialect())
+        kernel.register_object(names.STORE, self.client)
+        kernel.register_object(names.DIALECT, wire.Dialect())
         job_store = jobstore.JobStore(kernel)
         job_store.start()
-        kernel.offer(names.JOB_STORE, job_store)
+        kernel.register_object(names.JOB_STORE, job_store)
         self.listing = joblisting.JobListing(kernel)
         self.listing.start()
         self._backlogs = backlogs.Backlogs(self.client, job_store, self.listing)
@@ -71,7 +71,7 @@
         )
         acceptance = backlogs.JobAcceptance(
             meta,
-            dialect.Expected(_KEYS.meta(job), 0),
+            dialect.RevisionCondition(_KEYS.meta(job), 0),
             (
                 dialect.Write(_KEYS.meta(job), jobrecords.pack(meta)),
                 dialect.Write(
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -17,8 +17,8 @@
 
 def _feed(store: gatewaystore.MemoryStore) -> configuration.Feed:
     kernel = kernel_lib.Kernel()
-    kernel.offer(names.DIALECT, wire.Dialect())
-    kernel.offer(names.STORE, gatewaystore.StoreClient(store))
+    kernel.register_object(names.DIALECT, wire.Dialect())
+    kernel.register_object(names.STORE, gatewaystore.StoreClient(store))
     feed = configuration.Feed(kernel)
     feed.watch_while(lambda: True)
     return feed
@@ -72,7 +72,7 @@
 
 def test_the_longest_prefix_of_the_host_is_the_route() -> None:
     value = gatewayscene.configuration()
-    read = wire.Dialect().configuration(json.dumps(value).encode())
+    read = wire.Dialect().decode_configuration(json.dumps(value).encode())
     held = configuration.ActiveConfiguration(read, b"")
     found = held.route("H.example:80", "/s/once/x")
     assert found is not None
--- a/tests/gateway/test_eventstream.py
+++ b/tests/gateway/test_eventstream.py
@@ -28,12 +28,12 @@
         whole = splitter.feed(data[at : at + size])
         at += size
         for event in eventstream.parse(whole):
-            numbers.append(event.number)
-            assert event.data == f"d{event.number}"
+            numbers.append(event.event_id)
+            assert event.data == f"d{event.event_id}"
         if whole and numbers:
             assert eventstream.last_event_id(whole) == numbers[-1]
     assert numbers == list(range(1, 13))
-    assert not splitter.has_part
+    assert not splitter.has_partial_event
 
 
 def test_an_incomplete_event_is_buffered() -> None:
@@ -41,7 +41,7 @@
     assert (
         splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
     )
-    assert splitter.has_part
+    assert splitter.has_partial_event
 
 
 def test_an_event_without_end_is_an_error() -> None:
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -89,7 +89,7 @@
             if rows[-1]["event"] == "later":
                 break
         assert rows[-1]["dropped"]["decided"] > 10_000
-        assert eventlog.lost()["decided"] > 10_000
+        assert eventlog.lost_lines()["decided"] > 10_000
         assert rows[0]["vm"] == "vm1"
         assert rows[0]["part"] == "part"
         listener.stop()
@@ -107,7 +107,7 @@
     logger.setLevel(logging.INFO)
     events = eventlog.Events("part")
     for _ in range(200):
-        events.good_end("answered")
+        events.sampled_info("answered")
         events.warning("refused")
     kinds = [record.msg for record in emitted]
     assert kinds.count("refused") == 200
--- a/tests/gateway/test_storepath.py
+++ b/tests/gateway/test_storepath.py
@@ -100,7 +100,7 @@
     first.client.lost_commits = 1
     write = dialect.Write("key", b"value")
     made = _store_path(first).commit(
-        (dialect.Expected("key", 0),), (write,), (), 1.0
+        (dialect.RevisionCondition("key", 0),), (write,), (), 1.0
     )
     assert made.unwrap_err().kind == "unknown"
     assert not _store_path(first).dump()["is_lost"]
@@ -131,11 +131,11 @@
     first, _ = _two_vms(scene)
     scene.store.write("key", b"other")
     first.client.is_down = True
-    expected = (dialect.Expected("key", 0),)
+    expected = (dialect.RevisionCondition("key", 0),)
     write = dialect.Write("key", b"value")
     made = _store_path(first).commit(expected, (write,), (), 1.0).unwrap()
     assert isinstance(made, dialect.Conflict)
     assert made.entries[0].value == b"other"
-    changed = (dialect.Expected("key", made.entries[0].revision),)
+    changed = (dialect.RevisionCondition("key", made.entries[0].revision),)
     made = _store_path(first).commit(changed, (write,), (), 1.0).unwrap()
     assert made == scene.store.rows["key"].revision
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -53,7 +53,7 @@
         """Makes a change that came as JSON."""
         return self._client.commit(
             tuple(
-                dialect.Expected(row["key"], row["revision"])
+                dialect.RevisionCondition(row["key"], row["revision"])
                 for row in body["expected_rev"]
             ),
             tuple(
--- a/tests/support/gatewayscene.py
+++ b/tests/support/gatewayscene.py
@@ -127,7 +127,7 @@
             peers_address=free_address(),
             metrics_address="",
             store_address="",
-            value_bytes=1 << 20,
+            max_value_bytes=1 << 20,
             min_lease_s=1.0,
             grace_s=2.0,
             limit_slack=20,
--- a/tests/support/gatewaystore.py
+++ b/tests/support/gatewaystore.py
@@ -132,7 +132,7 @@
 
     def commit(
         self,
-        expected: tuple[dialect.Expected, ...],
+        expected: tuple[dialect.RevisionCondition, ...],
         writes: tuple[dialect.Write, ...],
         deletes: tuple[str, ...],
         timeout_s: float,
--- a/tests/support/mixedclients.py
+++ b/tests/support/mixedclients.py
@@ -79,7 +79,7 @@
             assert config.hash_key(secret) not in vm.withdrawn()
             return response
         error = json.loads(b"".join(response.body))["error"]
-        httpd.close(response.body)
+        httpd.close_body(response.body)
         if error["ran"] == "not_run":
             assert attempt not in self._fleet.upstreams.attempts, error
         if response.status in (429, 503):
@@ -107,7 +107,7 @@
                 return "open"
             assert not booking.is_unknown
             booking.take(variant, b"".join(response.body))
-            httpd.close(response.body)
+            httpd.close_body(response.body)
             return "answered"
         code = b"".join(response.body).decode()
         booking.is_unknown |= code == "outcome_unknown"
@@ -124,7 +124,7 @@
         except calls.BrokenAnswerError:
             return "broken"
         finally:
-            httpd.close(opened.response.body)
+            httpd.close_body(opened.response.body)
         assert not is_withdrawn, "an open answer outlived its key"
         opened.booking.take(opened.variant, body)
         return "answered"
@@ -136,7 +136,7 @@
         if response is None or response.status != 200:
             return
         body = json.loads(b"".join(response.body))
-        httpd.close(response.body)
+        httpd.close_body(response.body)
         assert body["choices"][0]["text"] == text.upper(), "another's answer"
 
     def forget_lost(self) -> None:
--- a/tests/support/mixedvm.py
+++ b/tests/support/mixedvm.py
@@ -251,7 +251,7 @@
         response = self.open(secret, method, path, body, headers)
         assert response.status != 500, "a VM failed to serve"
         reply = batchfakes.Reply(response)
-        httpd.close(response.body)
+        httpd.close_body(response.body)
         return reply
 
     def run_items(self, most: int = 10**9) -> int:
--- a/tests/usersplatform/test_operators.py
+++ b/tests/usersplatform/test_operators.py
@@ -27,10 +27,10 @@
 
 
 def test_an_upstream_is_decoded() -> None:
-    read = operators.upstream("servers/i-1", _entry(state="draining"))
+    read = operators.decode_upstream("servers/i-1", _entry(state="draining"))
     assert read.instance == "i-1"
     assert read.is_draining
-    assert read.born_ms == 17
+    assert read.started_ms == 17
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
 )
 def test_a_malformed_upstream_is_refused(value: bytes) -> None:
     with pytest.raises(dialect.BadInputError):
-        operators.upstream("servers/i-1", value)
+        operators.decode_upstream("servers/i-1", value)
 
 
 def test_a_configuration_is_decoded() -> None:
@@ -57,19 +57,21 @@
     value["routes"][4]["cap"] = 900
     del value["routes"][0]["service"]
     value["routes"][0]["traffic_split"] = split
-    read = operators.configuration(json.dumps(value).encode())
+    read = operators.decode_configuration(json.dumps(value).encode())
     assert read.version == 7
     assert [row.service for row in read.routes[0].services] == ["x", "y"]
     assert read.routes[0].timeout_s == 5.0
-    assert not read.routes[0].may_repeat
-    assert read.routes[1].may_repeat
+    assert not read.routes[0].is_repeatable
+    assert read.routes[1].is_repeatable
     assert read.routes[1].gap_target_s == 0.3
     assert read.routes[4].max_waiting_tokens == 900
 
 
 def test_a_route_without_a_bound_on_waiting_tokens_has_none() -> None:
     value = json.dumps(gatewayscene.configuration()).encode()
-    assert operators.configuration(value).routes[4].max_waiting_tokens == 0
+    assert (
+        operators.decode_configuration(value).routes[4].max_waiting_tokens == 0
+    )
 
 
 _JSON = st.recursive(
@@ -84,7 +86,7 @@
     name: str, value: Any
 ) -> None:
     try:
-        operators.upstream("servers/i-1", _entry(**{name: value}))
+        operators.decode_upstream("servers/i-1", _entry(**{name: value}))
     except dialect.BadInputError:
         return
 
@@ -96,11 +98,11 @@
 def test_any_configuration_is_decoded_or_refused(name: str, value: Any) -> None:
     data = gatewayscene.configuration() | {name: value}
     try:
-        operators.configuration(json.dumps(data).encode())
+        operators.decode_configuration(json.dumps(data).encode())
     except dialect.BadInputError:
         return
 
 
 def test_a_retire_request_names_its_vm() -> None:
-    assert operators.retire_request("op/retire/store-1") == "store-1"
-    assert operators.retire_request("op/config") == ""
+    assert operators.decode_retire_request("op/retire/store-1") == "store-1"
+    assert operators.decode_retire_request("op/config") == ""
--- a/tests/usersplatform/test_settings.py
+++ b/tests/usersplatform/test_settings.py
@@ -27,7 +27,7 @@
     assert read.vm == "front-a-1"
     assert read.peers_address == "10.1.0.5:7660"
     assert read.min_lease_s == 1.0
-    assert read.value_bytes == 1 << 20
+    assert read.max_value_bytes == 1 << 20
 
 
 @pytest.mark.parametrize("name", ["node", "zone", "listen", "platform"])
--- a/tests/usersplatform/test_store.py
+++ b/tests/usersplatform/test_store.py
@@ -76,7 +76,7 @@
         (404, {}),
     )
     client = server.client()
-    expected = (dialect.Expected("k", 0),)
+    expected = (dialect.RevisionCondition("k", 0),)
     writes = (dialect.Write("k", b"v", 7),)
 
     def commit() -> Any:
--- a/tests/usersplatform/test_wire.py
+++ b/tests/usersplatform/test_wire.py
@@ -50,7 +50,7 @@
         "bulrushdeal-token-usage": "1460,80",
         "bulrushdeal-prompt-prefix": "5c:800,91:410",
     }
-    head = wire.Dialect().caller_head(_HEADERS | more)
+    head = wire.Dialect().decode_caller_headers(_HEADERS | more)
     assert head.deadline_s == 2.5
     assert head.prompt == dialect.Prompt("m", 1460, 80, ("5c", "91"))
 
@@ -58,11 +58,11 @@
 @pytest.mark.parametrize("value", ["-1", "soon", "1.5", ""])
 def test_a_malformed_number_is_bad_input(value: str) -> None:
     with pytest.raises(dialect.BadInputError):
-        wire.Dialect().caller_head({"bulrushdeal-deadline-ms": value})
+        wire.Dialect().decode_caller_headers({"bulrushdeal-deadline-ms": value})
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "has_not_run", "is_signed"),
+    ("status", "headers", "is_not_executed", "has_server_stamp"),
     [
         (503, (("Bulrushdeal-Not-Executed", "1"),), True, False),
         (421, (), True, False),
@@ -70,27 +70,30 @@
         (200, (("Bulrushdeal-Server-Stamp", "x"),), False, True),
     ],
 )
-def test_has_not_run_needs_an_explicit_statement(
+def test_not_executed_needs_an_explicit_statement(
     status: int,
     headers: tuple[tuple[str, str], ...],
-    has_not_run: bool,
-    is_signed: bool,
+    is_not_executed: bool,
+    has_server_stamp: bool,
 ) -> None:
-    head = wire.Dialect().answer_head(status, headers)
-    assert (head.has_not_run, head.is_signed) == (has_not_run, is_signed)
+    head = wire.Dialect().decode_answer_headers(status, headers)
+    assert (head.is_not_executed, head.has_server_stamp) == (
+        is_not_executed,
+        has_server_stamp,
+    )
 
 
 def test_a_malformed_load_is_none() -> None:
     for value in ("3,0", "a,b,c", ""):
         headers = (("Bulrushdeal-Server-Load", value),)
-        assert wire.Dialect().answer_head(200, headers).load is None
+        assert wire.Dialect().decode_answer_headers(200, headers).load is None
     headers = (("Bulrushdeal-Server-Load", "3, 0, 8"),)
-    load = wire.Dialect().answer_head(200, headers).load
+    load = wire.Dialect().decode_answer_headers(200, headers).load
     assert load == dialect.Load(3, 0, 8)
 
 
 def test_job_calls_are_decoded() -> None:
-    read = wire.Dialect().job_call
+    read = wire.Dialect().decode_job_call
     wait = {"bulrushdeal-wait-ms": "1000"}
     assert read("GET", "/lots/j", "after=4", wait) == dialect.JobCall(
         "results", "j", "", 4, 1.0
@@ -107,13 +110,13 @@
 def test_the_tokens_of_an_item_are_decoded() -> None:
     item = {"id": "i", "path": "/b/1", "headers": {}, "body": "", "tokens": 940}
     body = json.dumps({"items": [item]}).encode()
-    (read,) = wire.Dialect().submission(body).items
+    (read,) = wire.Dialect().decode_submission(body).items
     assert read == dialect.JobItem("i", "/b/1", {}, b"", 940)
 
 
 def test_a_page_of_results_is_encoded() -> None:
     page = dialect.JobPage(3, 2, (dialect.ItemResult("i", True, "a\nb"),))
-    assert json.loads(wire.Dialect().job_page(page)) == {
+    assert json.loads(wire.Dialect().encode_job_page(page)) == {
         "total": 3,
         "next": 2,
         "results": [{"id": "i", "state": "completed", "output": "a\nb"}],
