--- a/packages/daemon/bulrushdeald/callers.py
+++ b/packages/daemon/bulrushdeald/callers.py
@@ -335,7 +335,7 @@
             yield chunk
 
     def close() -> None:
-        httpd.close(response.body)
+        httpd.close_body(response.body)
 
     return response._replace(body=calls.Body(chunks(), close))
 
--- a/packages/gateway/gateway/configuration.py
+++ b/packages/gateway/gateway/configuration.py
@@ -29,7 +29,7 @@
 _IDLE_CHECK_S = 0.25
 
 
-class InForce:
+class ActiveConfiguration:
     """One version of the configuration, indexed for look-ups by requests.
 
     Attributes:
@@ -102,7 +102,7 @@
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         self._lock = threading.Lock()
-        self._in_force: InForce | None = None
+        self._active: ActiveConfiguration | None = None
         self._callbacks: list[Callable[[], None]] = []
         self._retire_callbacks: list[Callable[[str], None]] = []
         self._stopping = threading.Event()
@@ -125,7 +125,7 @@
 
     def dump(self) -> Any:
         """Returns the version in force and for how long it has been so."""
-        held = self._in_force
+        held = self._active
         if held is None:
             return {"version": 0}
         age_s = time.monotonic() - held.since_s
@@ -139,7 +139,7 @@
         after three seconds and accepted a withdrawn key until then. Compressed
         it has 41 kB.
         """
-        held = self._in_force
+        held = self._active
         return Told(0, b"") if held is None else Told(held.version, held.packed)
 
     def apply_message(self, message: Told, vm: str) -> bool:
@@ -157,9 +157,9 @@
             return False
         return self.apply(value, vm)
 
-    def current(self) -> InForce | None:
+    def current(self) -> ActiveConfiguration | None:
         """Returns the configuration in force; `None` before there is any."""
-        return self._in_force
+        return self._active
 
     def watch_while(self, may_watch: Callable[[], bool]) -> None:
         """Sets the condition under which this VM watches the store.
@@ -176,7 +176,7 @@
         """Registers a callback that runs after each change."""
         self._callbacks.append(callback)
 
-    def on_retire(self, callback: Callable[[str], None]) -> None:
+    def on_retire_request(self, callback: Callable[[str], None]) -> None:
         """Registers a callback for each VM that operators want to retire."""
         self._retire_callbacks.append(callback)
 
@@ -191,17 +191,17 @@
             False if the text is malformed; true also if it is not newer.
         """
         try:
-            configuration = self._dialect.configuration(value)
+            configuration = self._dialect.decode_configuration(value)
         except dialect_lib.BadInputError as error:
             _events.warning("refused", source=source, why=str(error))
             return False
         with self._lock:
-            held = self._in_force
+            held = self._active
             # A late answer or a peer that is behind may bring an older
             # version, with which a withdrawn key would work again.
             if held is not None and held.version >= configuration.version:
                 return True
-            self._in_force = InForce(configuration, value)
+            self._active = ActiveConfiguration(configuration, value)
         _events.info(
             "applied",
             version=configuration.version,
@@ -227,7 +227,7 @@
             pause_s = min(pause_s * 2, _MAX_RETRY_S)
 
     def _should_watch(self) -> bool:
-        return self._in_force is None or self._may_watch()
+        return self._active is None or self._may_watch()
 
     def _list_and_watch(self) -> bool:
         """Lists the operators' keys, then watches them until a call fails.
@@ -235,7 +235,7 @@
         Returns:
             Whether any watch succeeded.
         """
-        prefix = self._dialect.names.operators
+        prefix = self._dialect.store_keys.operators_prefix
         listed = self._store.list(prefix, "", _CALL_TIMEOUT_S)
         if listed.is_err():
             self._log_store_lost(listed.unwrap_err().message)
@@ -271,10 +271,10 @@
         for entry in entries:
             if entry.value is None:
                 continue
-            if entry.key == self._dialect.names.configuration:
+            if entry.key == self._dialect.store_keys.configuration:
                 self.apply(entry.value, "store")
                 continue
-            vm = self._dialect.retire_request(entry.key)
+            vm = self._dialect.decode_retire_request(entry.key)
             if vm:
                 for callback in self._retire_callbacks:
                     callback(vm)
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -12,16 +12,16 @@
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeald import calls as caller_calls
 from bulrushdeald import services
-from gateway import calls
 from gateway import eventstream
 from gateway import heldslots
 from gateway import metrics
 from gateway import names
+from gateway import opencalls
 from gateway import placement
 from gateway import records
-from gateway import replies
-from gateway import sending
-from gateway.decisions import streamretries
+from gateway import refusals
+from gateway import upstreamsender
+from gateway.decisions import streamtimeouts
 
 _events = eventlog.Events("requests")
 
@@ -49,7 +49,7 @@
             `None` to start from the beginning.
     """
 
-    outgoing: sending.Outgoing
+    outgoing: upstreamsender.UpstreamRequest
     route: records.Route
     service: str
     last_event: int | None
@@ -60,7 +60,7 @@
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
-        self._retries = streamretries.StreamRetries()
+        self._stream_timeouts = streamtimeouts.StreamTimeouts()
 
     def start(self) -> None:
         """Looks up the services that the forwarder uses."""
@@ -68,7 +68,7 @@
             names.PLACEMENT, placement.Placement
         )
         self._metrics = self._kernel.find(names.METRICS, metrics.Metrics)
-        self._sender = sending.Sender(self._kernel)
+        self._sender = upstreamsender.Sender(self._kernel)
 
     def stop(self, grace_s: float) -> None:
         """See `kernel.Service`."""
@@ -79,7 +79,7 @@
         return {}
 
     def forward(
-        self, request: OnlineRequest, call: calls.Call
+        self, request: OnlineRequest, call: opencalls.Call
     ) -> httpd.Response:
         """Forwards a request and returns the answer.
 
@@ -90,7 +90,7 @@
             self._placement,
             self._sender,
             self._metrics,
-            self._retries,
+            self._stream_timeouts,
             request,
             call,
         ).run()
@@ -102,16 +102,16 @@
     def __init__(
         self,
         placer: placement.Placement,
-        sender: sending.Sender,
+        sender: upstreamsender.Sender,
         meter: metrics.Metrics,
-        retries: streamretries.StreamRetries,
+        stream_timeouts: streamtimeouts.StreamTimeouts,
         request: OnlineRequest,
-        call: calls.Call,
+        call: opencalls.Call,
     ) -> None:
         self._placement = placer
         self._sender = sender
         self._metrics = meter
-        self._retries = retries
+        self._stream_timeouts = stream_timeouts
         self._request = request
         self._route = request.route
         self._call = call
@@ -136,7 +136,7 @@
             if response is not None:
                 return response
 
-    def _open_answer(self) -> sending.OpenAnswer | None:
+    def _open_answer(self) -> upstreamsender.OpenAnswer | None:
         """Sends the request until an answer's head is accepted.
 
         A request that has not run is refused if there is no slot. One that has
@@ -162,14 +162,14 @@
             self._tried_instances.append(slot.upstream.instance)
             self._call.sends += 1
             if self._may_run_again(1):
-                self._retries.note_send()
+                self._stream_timeouts.record_send()
             self._sent_s = time.monotonic()
             sent = self._sender.send(
                 self._request.outgoing,
                 slot,
-                left_s=self._call.caller_remaining_s(),
-                silence_s=self._silence_s(slot),
-                last_event=self._last_event,
+                deadline_s=self._call.caller_remaining_s(),
+                max_silence_s=self._silence_s(slot),
+                last_event_id=self._last_event,
                 on_open=self._call.on_end,
             )
             if isinstance(sent, result.Ok):
@@ -177,7 +177,7 @@
                 self._answer = sent.ok_value.answer
                 load = sent.ok_value.head.load
                 if load is not None:
-                    self._placement.observed(
+                    self._placement.report_load(
                         slot, self._request.service, load.running + load.waiting
                     )
                 return sent.ok_value
@@ -202,25 +202,25 @@
             return remaining_s
         target_s = self._route.target_latency_s
         if self._route.kind != "streaming":
-            return min(remaining_s, streamretries.patient_s(target_s))
-        first_s = self._retries.first_event_s(
-            self._route.name, target_s, is_free=slot.is_free
+            return min(remaining_s, streamtimeouts.default_timeout_s(target_s))
+        first_s = self._stream_timeouts.first_event_timeout_s(
+            self._route.name, target_s, starts_at_once=slot.starts_at_once
         )
         return min(remaining_s, first_s)
 
     def _may_run_again(self, extra_runs: int = 0) -> bool:
         """Returns whether it may run once more after `extra_runs` more runs."""
         runs = self._call.runs + extra_runs
-        return self._route.may_repeat and runs < self._route.max_attempts
+        return self._route.is_repeatable and runs < self._route.max_attempts
 
-    def _record_failure(self, failure: sending.Failure) -> None:
+    def _record_failure(self, failure: upstreamsender.Failure) -> None:
         slot = self._slot
         assert slot is not None
         if failure.may_have_run:
             self._call.runs += 1
             self._slot_wait_until_s = time.monotonic() + _RERUN_SLOT_WAIT_S
         if failure.kind == "silent" and self._route.kind == "streaming":
-            self._retries.note_given_up()
+            self._stream_timeouts.record_given_up()
         _events.warning(
             "send_failed",
             request=self._call.attempt,
@@ -242,7 +242,7 @@
         if slot is not None:
             slot.release()
 
-    def _should_repeat(self, opened: sending.OpenAnswer) -> bool:
+    def _should_repeat(self, opened: upstreamsender.OpenAnswer) -> bool:
         """Returns whether to repeat the request after a 5xx answer."""
         if opened.answer.status < _FIRST_SERVER_ERROR:
             return False
@@ -250,18 +250,22 @@
             self._request.service
         )
 
-    def _relay(self, opened: sending.OpenAnswer) -> httpd.Response | None:
+    def _relay(
+        self, opened: upstreamsender.OpenAnswer
+    ) -> httpd.Response | None:
         if self._is_stream(opened):
             return self._relay_stream(opened)
         return self._relay_whole(opened)
 
-    def _is_stream(self, opened: sending.OpenAnswer) -> bool:
+    def _is_stream(self, opened: upstreamsender.OpenAnswer) -> bool:
         return (
             self._route.kind == "streaming"
             and opened.answer.status == http.HTTPStatus.OK
         )
 
-    def _relay_whole(self, opened: sending.OpenAnswer) -> httpd.Response | None:
+    def _relay_whole(
+        self, opened: upstreamsender.OpenAnswer
+    ) -> httpd.Response | None:
         """Reads the answer and returns it, or a refusal.
 
         An answer above `_MAX_BUFFERED_BYTES` is returned before it is read
@@ -318,7 +322,7 @@
         return None if self._may_send() else self._refuse()
 
     def _relay_stream(
-        self, opened: sending.OpenAnswer
+        self, opened: upstreamsender.OpenAnswer
     ) -> httpd.Response | None:
         """Relays a stream's events as they arrive.
 
@@ -332,7 +336,7 @@
         except caller_calls.BrokenAnswerError:
             return self._refuse()
 
-        self._note_first_event()
+        self._record_first_event()
 
         def events() -> Iterator[bytes]:
             yield first
@@ -341,19 +345,21 @@
         body = caller_calls.Body(events(), self._release)
         return httpd.Response(opened.answer.status, headers, body)
 
-    def _note_first_event(self) -> None:
-        self._metrics.first_event(self._call.age_s())
-        if self._slot is not None and self._slot.is_free:
+    def _record_first_event(self) -> None:
+        self._metrics.observe_first_event(self._call.age_s())
+        if self._slot is not None and self._slot.starts_at_once:
             took_s = time.monotonic() - self._sent_s
-            self._retries.note_first_event(self._route.name, took_s)
+            self._stream_timeouts.record_first_event(self._route.name, took_s)
 
-    def _stream_events(self, opened: sending.OpenAnswer) -> Iterator[bytes]:
+    def _stream_events(
+        self, opened: upstreamsender.OpenAnswer
+    ) -> Iterator[bytes]:
         """Yields complete events from each upstream that the stream runs on.
 
         Raises:
             BrokenAnswerError: The stream broke and cannot be resumed.
         """
-        current: sending.OpenAnswer | None = opened
+        current: upstreamsender.OpenAnswer | None = opened
         while current is not None:
             splitter = eventstream.Splitter()
             error: services.UpstreamError | None = None
@@ -362,21 +368,21 @@
                     error = piece.err_value
                     break
                 whole_events = splitter.feed(piece.ok_value)
-                self._mark_upstream_heard()
+                self._record_upstream_data()
                 if whole_events:
                     self._limit_gap(current)
                     event_id = eventstream.last_event_id(whole_events)
                     if event_id is not None:
                         self._last_event = event_id
                     yield whole_events
-            if error is None and not splitter.has_part:
+            if error is None and not splitter.has_partial_event:
                 self._call.mark_answered()
                 self._close_answer()
                 return
             current = self._resume(error)
         raise caller_calls.BrokenAnswerError("the stream broke off")
 
-    def _limit_gap(self, opened: sending.OpenAnswer) -> None:
+    def _limit_gap(self, opened: upstreamsender.OpenAnswer) -> None:
         """Limits pauses in a stream that has begun, by the route's gap target.
 
         If the upstream is cut off or freezes in the middle of a stream, the
@@ -385,14 +391,14 @@
         """
         if not self._route.gap_target_s or not self._may_run_again():
             return
-        gap_s = self._retries.gap_s(
+        gap_s = self._stream_timeouts.gap_timeout_s(
             self._route.gap_target_s, self._route.target_latency_s
         )
         opened.answer.allow_silence(gap_s)
 
-    def _mark_upstream_heard(self) -> None:
+    def _record_upstream_data(self) -> None:
         if self._slot is not None:
-            self._placement.health.heard(self._slot.upstream.instance)
+            self._placement.health.record_data(self._slot.upstream.instance)
 
     def _close_answer(self) -> None:
         answer, self._answer = self._answer, None
@@ -402,7 +408,7 @@
 
     def _resume(
         self, error: services.UpstreamError | None
-    ) -> sending.OpenAnswer | None:
+    ) -> upstreamsender.OpenAnswer | None:
         """Resumes a broken stream at another upstream, if that is allowed.
 
         Args:
@@ -443,25 +449,25 @@
             tried=self._tried_instances,
             occupancy=self._occupancy(),
         )
-        return replies.refusal(refusal)
+        return refusals.refusal_response(refusal)
 
     def _occupancy(self) -> Mapping[str, float]:
         """Returns the engines' occupancy as their leader reported it."""
         occupancy = None if self._no_slot is None else self._no_slot.occupancy
         return {} if occupancy is None else occupancy._asdict()
 
-    def _refusal(self) -> replies.Refusal:
+    def _refusal(self) -> refusals.Refusal:
         call = self._call
         is_late = call.reason == "timeout" or call.remaining_s() <= 0
         if call.runs and is_late:
-            return replies.Refusal(504, "no answer in time")
+            return refusals.Refusal(504, "no answer in time")
         if call.runs:
-            return replies.Refusal(502, "the upstream's answer broke off")
+            return refusals.Refusal(502, "the upstream's answer broke off")
         if self._no_slot is not None:
-            return replies.Refusal(
-                503, self._no_slot.why, self._no_slot.retry_after_s
+            return refusals.Refusal(
+                503, self._no_slot.reason, self._no_slot.retry_after_s
             )
-        return replies.Refusal(503, "no upstream took it", _BUSY_RETRY_S)
+        return refusals.Refusal(503, "no upstream took it", _BUSY_RETRY_S)
 
 
 def _with_length(
--- a/packages/gateway/gateway/heldslots.py
+++ b/packages/gateway/gateway/heldslots.py
@@ -15,10 +15,10 @@
     Attributes:
         run: The name of the run that uses the slot.
         upstream: The upstream.
-        standing: The batch item's standing; `None` for an online request.
-        is_free: Whether the run begins at once, according to the service's
-            leader; false if that is not known.
-        has_yielded: Whether the slot was preempted.
+        priority: The batch item's priority; `None` for an online request.
+        starts_at_once: Whether the run begins at once, according to the
+            service's leader; false if that is not known.
+        is_preempted: Whether the slot was preempted.
         outcome: How the run ended, as far as known.
         held_since_s: When the slot was taken, by the monotonic clock.
     """
@@ -27,14 +27,14 @@
         self,
         run: str,
         upstream: records.Upstream,
-        standing: batchorder.Standing | None,
+        priority: batchorder.ItemPriority | None,
         on_release: Callable[["Slot"], None],
     ) -> None:
         self.run = run
         self.upstream = upstream
-        self.standing = standing
-        self.is_free = False
-        self.has_yielded = False
+        self.priority = priority
+        self.starts_at_once = False
+        self.is_preempted = False
         self.outcome: slotledger.Outcome = "unknown"
         self.held_since_s = time.monotonic()
         self._on_release = on_release
@@ -45,17 +45,17 @@
     @property
     def is_batch(self) -> bool:
         """Whether a batch item uses the slot."""
-        return self.standing is not None
+        return self.priority is not None
 
-    def on_yield(self, cancel: Callable[[], None]) -> None:
+    def set_cancel_callback(self, cancel: Callable[[], None]) -> None:
         """Sets the callback that ends the run when the slot is preempted.
 
         If it is already preempted, `cancel` is called at once.
         """
         with self._lock:
             self._cancel = cancel
-            has_yielded = self.has_yielded
-        if has_yielded:
+            is_preempted = self.is_preempted
+        if is_preempted:
             cancel()
 
     def preempt(self) -> None:
@@ -64,7 +64,7 @@
         Called from a thread other than the run's own.
         """
         with self._lock:
-            self.has_yielded = True
+            self.is_preempted = True
             cancel = self._cancel
         if cancel is not None:
             cancel()
@@ -96,7 +96,7 @@
         service: str,
         run: str,
         upstream: records.Upstream,
-        standing: batchorder.Standing | None = None,
+        priority: batchorder.ItemPriority | None = None,
     ) -> Slot:
         """Adds a slot and returns it.
 
@@ -104,12 +104,12 @@
             service: The upstream's service.
             run: The name of the run that uses the slot.
             upstream: The upstream.
-            standing: The batch item's standing; `None` for an online request.
+            priority: The batch item's priority; `None` for an online request.
         """
         slot = Slot(
             run,
             upstream,
-            standing,
+            priority,
             lambda slot: self._remove(service, slot),
         )
         with self._lock:
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -15,7 +15,7 @@
 from gateway import members
 from gateway import names
 from gateway import storemessages
-from gateway.decisions import probing
+from gateway.decisions import storeprobing
 
 _events = eventlog.Events("store")
 
@@ -41,7 +41,7 @@
 _UNAVAILABLE = dialect.StoreError("refused", "the store is away")
 
 
-class StorePath:
+class FailoverStore:
     """A `dialect.Store` that calls through peers while direct access is lost.
 
     The failure: the store refuses calls from some VMs, or the network cuts
@@ -74,7 +74,7 @@
         find = self._kernel.find
         self._members = find(services.MEMBERSHIP, members.Members)
         dialect_ = find(names.DIALECT, dialect.Dialect)
-        self._probe_key = f"{dialect_.names.own}probe"
+        self._probe_key = f"{dialect_.store_keys.own_prefix}probe"
         peers = find(services.PEERS, services.Peers)
         for kind in storemessages.REQUESTS:
             peers.handle(kind, self._serve_peer)
@@ -132,7 +132,7 @@
 
     def commit(
         self,
-        expected: tuple[dialect.Expected, ...],
+        expected: tuple[dialect.RevisionCondition, ...],
         writes: tuple[dialect.Write, ...],
         deletes: tuple[str, ...],
         timeout_s: float,
@@ -192,7 +192,7 @@
         """Asks peers in turn to make a call until one reaches the store."""
         if self._peers is None:
             return storemessages.Failed(_UNAVAILABLE)
-        for vm in self._helpers():
+        for vm in self._choose_helpers():
             called = self._peers.call(
                 vm, request, request.timeout_s + _PEER_ROUND_TRIP_S
             )
@@ -209,7 +209,7 @@
         self._helper_backoff_until_s = time.monotonic() + _HELPER_BACKOFF_S
         return storemessages.Failed(_UNAVAILABLE)
 
-    def _helpers(self) -> tuple[str, ...]:
+    def _choose_helpers(self) -> tuple[str, ...]:
         """Returns the VMs to call through, the last helper first."""
         own = self._members.own().vm
         # The probers are the first to detect that a store that was
@@ -283,13 +283,13 @@
         is_prober = (
             self._peers is None or self._members.own().vm in self._probers()
         )
-        return probing.pause_s(
-            lost_s, is_away=self._is_outage(), is_prober=is_prober
+        return storeprobing.pause_s(
+            lost_s, is_outage=self._is_outage(), is_prober=is_prober
         )
 
     def _probers(self) -> tuple[str, ...]:
         """Returns the VMs that probe most often during an outage for all."""
-        return tuple(self._members.leaders("store")[: probing.PROBERS])
+        return tuple(self._members.leaders("store")[: storeprobing.PROBERS])
 
     def _is_outage(self) -> bool:
         """Returns whether, recently, no helper reached the store either."""
--- a/packages/gateway/gateway/upstreamlist.py
+++ b/packages/gateway/gateway/upstreamlist.py
@@ -7,10 +7,10 @@
 from bulrushdeal import eventlog
 from bulrushdeal import kernel as kernel_lib
 from gateway import dialect as dialect_lib
-from gateway import listing
 from gateway import names
 from gateway import paging
 from gateway import records
+from gateway import retainedlist
 
 _events = eventlog.Events("upstreams")
 
@@ -20,14 +20,14 @@
 class UpstreamList:
     """Holds the last known list, also while the store is unavailable.
 
-    Only one thread may call `read` and `follow`.
+    Only one thread may call `read` and `apply_received`.
     """
 
     def __init__(self, kernel: kernel_lib.Kernel) -> None:
         self._kernel = kernel
         # A missing entry that was draining is not kept: its upstream leaves.
-        self._listing: listing.Listing[records.Upstream] = listing.Listing(
-            lambda row: not row.is_draining
+        self._listing: retainedlist.Listing[records.Upstream] = (
+            retainedlist.Listing(lambda row: not row.is_draining)
         )
         self._by_service: dict[str, tuple[records.Upstream, ...]] = {}
         self._by_instance: dict[str, records.Upstream] = {}
@@ -79,7 +79,7 @@
         """Returns an upstream by its name; `None` if it is not listed."""
         return self._by_instance.get(instance)
 
-    def all(self) -> tuple[tuple[records.Upstream, ...], int]:
+    def snapshot(self) -> tuple[tuple[records.Upstream, ...], int]:
         """Returns all upstreams, draining ones too, and the list's version.
 
         The version grows with each change. It is read before the rows: if the
@@ -103,7 +103,7 @@
         self._last_read_failed = rows is None
         return rows is not None
 
-    def follow(
+    def apply_received(
         self, rows: tuple[records.Upstream, ...] | None, age_s: float
     ) -> None:
         """Applies a list that another VM read from the store.
@@ -122,7 +122,7 @@
         self._last_read_failed = False
 
     def _read(self) -> dict[str, records.Upstream] | None:
-        prefix = self._dialect.names.upstreams
+        prefix = self._dialect.store_keys.upstreams_prefix
         listed = paging.read_all(self._store, prefix, _CALL_TIMEOUT_S)
         if listed.is_err():
             return None
@@ -133,7 +133,7 @@
         if entry.value is None:
             return None
         try:
-            row = self._dialect.upstream(entry.key, entry.value)
+            row = self._dialect.decode_upstream(entry.key, entry.value)
         except dialect_lib.BadInputError as error:
             if self._rejected.get(entry.key) != entry.value:
                 self._rejected[entry.key] = entry.value
--- a/packages/gateway/gateway/retirements.py
+++ b/packages/gateway/gateway/vmretirement.py
@@ -39,7 +39,7 @@
         self._store = find(names.STORE, dialect_lib.Store)
         self._dialect = find(names.DIALECT, dialect_lib.Dialect)
         feed = find(names.CONFIGURATION, configuration.Feed)
-        feed.on_retire(self._requests.put)
+        feed.on_retire_request(self._requests.put)
         threading.Thread(
             target=self._run, name="retirements", daemon=True
         ).start()
@@ -63,7 +63,7 @@
                 pause.wait(_MAX_RETRY_PAUSE_S * random.uniform(0.5, 1.0))
 
     def _confirm(self, vm: str) -> bool:
-        write = self._dialect.retire_status(vm)
+        write = self._dialect.retired_write(vm)
         got = self._store.get(write.key, _CALL_TIMEOUT_S)
         if got.is_err():
             return False
@@ -72,7 +72,7 @@
             return True
         revision = 0 if entry is None else entry.revision
         made = self._store.commit(
-            (dialect_lib.Expected(write.key, revision),),
+            (dialect_lib.RevisionCondition(write.key, revision),),
             (write,),
             (),
             _CALL_TIMEOUT_S,
--- a/tests/gateway/test_backlogs.py
+++ b/tests/gateway/test_backlogs.py
@@ -13,10 +13,10 @@
 from gateway import backlogs
 from gateway import configuration
 from gateway import dialect
-from gateway import jobbook
 from gateway import joblisting
 from gateway import jobmessages
 from gateway import jobrecords
+from gateway import jobstore
 from gateway import names
 from gateway.decisions import backlog
 from support import gatewayengine
@@ -24,7 +24,7 @@
 from support import gatewaystore
 
 _BOUND = 100
-_PREFIX = wire.Dialect().names.own
+_PREFIX = wire.Dialect().store_keys.own_prefix
 _KEYS = jobrecords.Keys(_PREFIX)
 
 
@@ -37,7 +37,7 @@
 
     def commit(
         self,
-        expected: tuple[dialect.Expected, ...],
+        expected: tuple[dialect.RevisionCondition, ...],
         writes: tuple[dialect.Write, ...],
         deletes: tuple[str, ...],
         timeout_s: float,
@@ -54,14 +54,14 @@
     def __init__(self, store: gatewaystore.MemoryStore) -> None:
         self.client = _RacingClient(store)
         kernel = kernel_lib.Kernel()
-        kernel.offer(names.STORE, self.client)
-        kernel.offer(names.DIALECT, wire.Dialect())
-        book = jobbook.JobBook(kernel)
-        book.start()
-        kernel.offer(names.JOB_BOOK, book)
+        kernel.register_object(names.STORE, self.client)
+        kernel.register_object(names.DIALECT, wire.Dialect())
+        job_store = jobstore.JobStore(kernel)
+        job_store.start()
+        kernel.register_object(names.JOB_STORE, job_store)
         self.listing = joblisting.JobListing(kernel)
         self.listing.start()
-        self._backlogs = backlogs.Backlogs(self.client, book, self.listing)
+        self._backlogs = backlogs.Backlogs(self.client, job_store, self.listing)
 
     def accept(
         self, job: str, tokens: int, bound: int = _BOUND
@@ -69,17 +69,18 @@
         meta = jobrecords.JobMeta(
             job, "c", "h", "/b/", 1, ("i",), 1, 3, 60.0, 18.0, "backlog"
         )
-        change = backlogs.Change(
+        acceptance = backlogs.JobAcceptance(
             meta,
-            dialect.Expected(_KEYS.meta(job), 0),
+            dialect.RevisionCondition(_KEYS.meta(job), 0),
             (
                 dialect.Write(_KEYS.meta(job), jobrecords.pack(meta)),
                 dialect.Write(
-                    _KEYS.open_job(job), jobrecords.pack(meta.opened(tokens))
+                    _KEYS.open_job(job),
+                    jobrecords.pack(meta.open_record(tokens)),
                 ),
             ),
         )
-        return self._backlogs.accept(change, backlog.Demand(tokens, bound))
+        return self._backlogs.accept(acceptance, backlog.Demand(tokens, bound))
 
 
 def _waiting_tokens(store: gatewaystore.MemoryStore) -> int:
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -226,8 +226,8 @@
     vm = scene.add_vm("vm2", "d2")
     membership = vm.kernel.find("membership", members.Members)
     for _ in range(2):
-        membership.note_ping("d1", "vm1", was_answered=False)
-    assert membership.lost_domains() == {"d1"}
+        membership.record_ping("d1", "vm1", was_answered=False)
+    assert membership.unreachable_domains() == {"d1"}
     vm.submit("j1", _items(3))
     assert len(_finished(vm, "j1")) == 3
 
@@ -249,16 +249,16 @@
     placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
     asked: list[int] = []
 
-    def take(service: str, standings: list[Any]) -> list[Any]:
+    def take(service: str, priorities: list[Any]) -> list[Any]:
         # The runner's own thread also calls this.
         if threading.current_thread() is threading.main_thread():
-            asked.append(len(standings))
+            asked.append(len(priorities))
         return []
 
     monkeypatch.setattr(placed, "take_batch", take)
     job_runner = vm.kernel.find("runner", runner.Runner)
     assert len(job_runner.dump()) == 6
-    job_runner.feed()
+    job_runner.schedule()
     assert len(asked) == 1
 
 
@@ -271,11 +271,11 @@
     placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
     take, failed = placed.take_batch, threading.Event()
 
-    def fail_once(service: str, standings: list[Any]) -> list[Any]:
+    def fail_once(service: str, priorities: list[Any]) -> list[Any]:
         if not failed.is_set():
             failed.set()
             raise RuntimeError("injected failure")
-        return take(service, standings)
+        return take(service, priorities)
 
     monkeypatch.setattr(placed, "take_batch", fail_once)
     vm.submit("j1", _items(3))
@@ -371,7 +371,7 @@
     first, second = scene.add_vm("vm1", "d1"), scene.add_vm("vm2", "d2")
     first.submit("j1", _items(2))
     listing = second.kernel.find(names.JOB_LISTING, joblisting.JobListing)
-    gatewayscene.until(lambda: "j1" in listing.all()[0].holders())
+    gatewayscene.until(lambda: "j1" in listing.snapshot()[0].holders())
     before = second.client.calls.count("get")
     answer = second.results("j1")
     assert (answer.status, answer.json()["total"]) == (200, 2)
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -44,9 +44,9 @@
     vm = scene.add_vm()
     placed = vm.kernel.find(names.PLACEMENT, placement.Placement)
     gatewayscene.until(lambda: placed.take("llm", 0.3, ()).is_ok())
-    assert len(placed.take_batch("llm", [batchorder.Standing()] * 2)) == 2
+    assert len(placed.take_batch("llm", [batchorder.ItemPriority()] * 2)) == 2
     customer = records.Customer("school", (), 0, 0.001, 1)
-    owned = vm.kernel.find(names.RATES, rates.Rates)
+    owned = vm.kernel.find(names.RATES, rates.RateLimiter)
     while owned.take(customer).is_ok():
         continue
     text = vm.kernel.find(names.METRICS, metrics.Metrics).text().decode()
@@ -89,7 +89,7 @@
             if rows[-1]["event"] == "later":
                 break
         assert rows[-1]["dropped"]["decided"] > 10_000
-        assert eventlog.lost()["decided"] > 10_000
+        assert eventlog.lost_lines()["decided"] > 10_000
         assert rows[0]["vm"] == "vm1"
         assert rows[0]["part"] == "part"
         listener.stop()
@@ -107,7 +107,7 @@
     logger.setLevel(logging.INFO)
     events = eventlog.Events("part")
     for _ in range(200):
-        events.good_end("answered")
+        events.sampled_info("answered")
         events.warning("refused")
     kinds = [record.msg for record in emitted]
     assert kinds.count("refused") == 200
--- a/tests/support/mixedclients.py
+++ b/tests/support/mixedclients.py
@@ -96,7 +96,7 @@
             assert config.hash_key(secret) not in vm.withdrawn_hashes()
             return response
         error = json.loads(b"".join(response.body))["error"]
-        httpd.close(response.body)
+        httpd.close_body(response.body)
         if error["ran"] == "not_run":
             assert attempt not in self._fleet.upstreams.attempts, error
         if response.status in (429, 503):
@@ -129,7 +129,7 @@
                 return "open"
             assert not booking.is_unknown
             booking.record_reply(variant, b"".join(response.body))
-            httpd.close(response.body)
+            httpd.close_body(response.body)
             return "answered"
         code = b"".join(response.body).decode()
         booking.is_unknown |= code == "outcome_unknown"
@@ -147,7 +147,7 @@
         except calls.BrokenAnswerError:
             return "broken"
         finally:
-            httpd.close(opened.response.body)
+            httpd.close_body(opened.response.body)
         assert not is_withdrawn, (
             "an open answer went on after its key was withdrawn"
         )
@@ -161,7 +161,7 @@
         if response is None or response.status != 200:
             return
         body = json.loads(b"".join(response.body))
-        httpd.close(response.body)
+        httpd.close_body(response.body)
         assert body["choices"][0]["text"] == text.upper(), (
             "the answer belongs to another request"
         )
