--- a/packages/bench/bench/replay/__init__.py
+++ b/packages/bench/bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replays loads on the gateway's real decisions, in virtual time."""
+"""Replays loads against the gateway's decision code in virtual time."""
--- a/packages/bench/bench/replay/command.py
+++ b/packages/bench/bench/replay/command.py
@@ -1,4 +1,4 @@
-"""`python -m bench replay`."""
+"""The command `python -m bench replay`."""
 
 import pathlib
 
@@ -14,14 +14,17 @@
 from bench.replay import tally
 from bulrushdeal import errors
 
-_PARTS = 20
+# Steps of the progress bar for each replay.
+_PARTS_PER_REPLAY = 20
 
 
 class ReplayCommand(command.Command):
-    """Plays a load on the gateway's decisions."""
+    """Replays a load against the gateway's decision code."""
 
     name = "replay"
-    description = "Play a load on the gateway's decisions, in virtual time."
+    description = (
+        "Replay a load against the gateway's decisions in virtual time."
+    )
     arguments = [
         argument(
             "load",
@@ -37,22 +40,23 @@
         ),
         option(
             "seeds",
-            description="How often it is played.",
+            description="The number of replays, each with its own seed.",
             flag=False,
             default="3",
         ),
         option(
             "plot",
-            description="Where to write a picture of the first, as PNG.",
+            description="The PNG file for a plot of the first replay.",
             flag=False,
         ),
     ]
 
     def handle(self) -> int:
-        """Plays, and prints a table.
+        """Replays the load with each seed and prints a table of the results.
 
         Raises:
-            errors.UserError: The load, or an option, is wrong.
+            errors.UserError: The load or an option is invalid, or the plot
+                cannot be written.
         """
         load = loads.read(self.argument("load"))
         policy = policies.POLICIES.get(self.option("policy"))
@@ -61,33 +65,35 @@
         seeds = self.option("seeds")
         if not seeds.isdigit() or not int(seeds):
             raise errors.UserError("--seeds must be a number from 1 on.")
-        bar = self.progress_bar(int(seeds) * _PARTS)
-        plays = []
+        bar = self.progress_bar(int(seeds) * _PARTS_PER_REPLAY)
+        replays = []
         for seed in range(1, int(seeds) + 1):
             fleet = fleet_lib.Fleet(load, policy, seed)
-            progress = fleet.begin(_PARTS)
+            progress = fleet.begin(_PARTS_PER_REPLAY)
             while progress.step():
                 bar.advance()
-            plays.append(fleet.ended())
+            replays.append(fleet.results())
         bar.finish()
         self.line("")
-        self._show([tally.rows(ended) for ended in plays])
+        self._print_table([tally.rows(results) for results in replays])
         if self.option("plot"):
-            self._plot(plays[0], load)
+            self._write_plot(replays[0], load)
         return 0
 
-    def _show(self, plays: list[tuple[tally.Row, ...]]) -> None:
+    def _print_table(self, replays: list[tuple[tally.Row, ...]]) -> None:
         table = self.table()
-        head, *rows = report.table(plays)
+        head, *rows = report.table(replays)
         table.set_headers(head)
         for row in rows:
             table.add_row([*row])
         table.render()
 
-    def _plot(self, ended: tuple[tally.Ended, ...], load: loads.Load) -> None:
+    def _write_plot(
+        self, results: tuple[tally.Ended, ...], load: loads.Load
+    ) -> None:
         path = pathlib.Path(self.option("plot"))
         try:
-            plot.write(path, ended, load.length_s)
+            plot.write(path, results, load.length_s)
         except OSError as error:
             raise errors.UserError(f"--plot {path}: {error}") from error
         self.line(f"Wrote {path}.")
--- a/packages/bench/bench/replay/fleet.py
+++ b/packages/bench/bench/replay/fleet.py
@@ -1,8 +1,8 @@
-"""VMs that serve a load: one leads and gives slots, all of them ask it.
+"""Simulated VMs that serve a load; one of them leads and grants the slots.
 
-Each message between VMs, and to an upstream, takes its time. Online requests
-come to any VM; batch jobs stay at the one that accepted them, which asks for
-slots as the runner of a gateway does.
+Each message between VMs or to an upstream takes `message_s`. Online requests
+arrive at random VMs. A batch job stays at the VM that accepted it, which
+requests slots as the gateway's runner does.
 """
 
 import functools
@@ -18,17 +18,20 @@
 from bench.replay import tally
 from bench.replay import timeline as timeline_lib
 
-# How soon a change of a rate is seen.
-_LOOK_S = 0.1
+# The most seconds between two checks whether the rate of requests changed.
+_RATE_POLL_S = 0.1
 
 
 class Fleet:
-    """A replay of one load by one policy.
+    """A replay of one load under one policy.
 
     Args:
-        load: What is played.
-        policy: Who decides.
-        seed: Of all that is drawn.
+        load: The load to replay.
+        policy: The decision code to use.
+        seed: The seed of the random generator.
+
+    Attributes:
+        timeline: The virtual time of the replay.
     """
 
     def __init__(
@@ -46,10 +49,12 @@
             for row in range(load.engines.replicas)
         }
         self._slots = slots_lib.Slots(
-            self.timeline, load, policy.ledger(self._rng), engines
+            self.timeline, load, policy.make_ledger(self._rng), engines
         )
         self._streams = [
-            streams_lib.StreamVm(f"vm-{row}", self._slots, policy.retries())
+            streams_lib.StreamVm(
+                f"vm-{row}", self._slots, policy.make_timeouts()
+            )
             for row in range(load.vms)
         ]
         self._items = [
@@ -61,58 +66,66 @@
         self._jobs = 0
 
     def begin(self, parts: int = 1) -> "Progress":
-        """Returns what plays the load in so many parts."""
+        """Schedules the load and returns its replay in `parts` equal parts."""
         for streams in self._load.streams:
-            self._await_stream(streams, self._between(streams))
+            self._schedule_request(streams, self._draw_interval(streams))
         for jobs in self._load.jobs:
-            self._await_job(jobs)
+            self._schedule_job(jobs)
             for at_s in jobs.at_s:
-                self.timeline.after(at_s, functools.partial(self._accept, jobs))
+                self.timeline.after(
+                    at_s, functools.partial(self._accept_job, jobs)
+                )
         for vm in self._items:
             vm.start()
         return Progress(self, self._load.length_s, parts)
 
-    def ended(self) -> tuple[tally.Ended, ...]:
-        """Returns what came of each request and item so far."""
-        found: list[tally.Ended] = []
+    def results(self) -> tuple[tally.Ended, ...]:
+        """Returns the results of all requests and items, by arrival time."""
+        all_results: list[tally.Ended] = []
         for stream_vm in self._streams:
-            found += stream_vm.ended()
+            all_results += stream_vm.results()
         for item_vm in self._items:
-            found += item_vm.ended()
-        return tuple(sorted(found, key=lambda one: one.came_s))
+            all_results += item_vm.results()
+        return tuple(sorted(all_results, key=lambda result: result.arrived_s))
+
+    def _schedule_request(self, streams: loads.Streams, left: float) -> None:
+        """Schedules the next request.
 
-    def _await_stream(self, streams: loads.Streams, left: float) -> None:
-        """Waits for the next request, or for the rate to be another.
+        The time to it is recomputed at least every `_RATE_POLL_S`, so that a
+        change of the rate takes effect before the request arrives.
 
         Args:
-            streams: The requests.
-            left: Until the next one, in mean times between two.
+            streams: The kind of request.
+            left: The time to the next request, in mean intervals.
         """
-        per_s = streams.rate(self.timeline.now_s)
-        wait_s = left / per_s if per_s else _LOOK_S
+        rate_per_s = streams.rate(self.timeline.now_s)
+        wait_s = left / rate_per_s if rate_per_s else _RATE_POLL_S
 
         def arrive() -> None:
-            if wait_s > _LOOK_S or not per_s:
-                self._await_stream(streams, left - _LOOK_S * per_s)
+            if wait_s > _RATE_POLL_S or not rate_per_s:
+                self._schedule_request(
+                    streams, left - _RATE_POLL_S * rate_per_s
+                )
                 return
             events = self._draw(streams.events, streams.spread)
             self._rng.choice(self._streams).take(streams, events)
-            self._await_stream(streams, self._between(streams))
+            self._schedule_request(streams, self._draw_interval(streams))
 
-        self.timeline.after(min(wait_s, _LOOK_S), arrive)
+        self.timeline.after(min(wait_s, _RATE_POLL_S), arrive)
 
-    def _between(self, streams: loads.Streams) -> float:
+    def _draw_interval(self, streams: loads.Streams) -> float:
+        """Returns the time between two requests, in mean intervals."""
         return 1.0 if streams.is_even else self._rng.expovariate(1.0)
 
-    def _await_job(self, jobs: loads.Jobs) -> None:
+    def _schedule_job(self, jobs: loads.Jobs) -> None:
         def arrive() -> None:
-            self._accept(jobs)
-            self._await_job(jobs)
+            self._accept_job(jobs)
+            self._schedule_job(jobs)
 
         if jobs.per_s:
             self.timeline.after(self._rng.expovariate(jobs.per_s), arrive)
 
-    def _accept(self, jobs: loads.Jobs) -> None:
+    def _accept_job(self, jobs: loads.Jobs) -> None:
         self._jobs += 1
         count = self._draw(jobs.items, jobs.spread)
         lengths = itertools.cycle(jobs.lengths or (1.0,))
@@ -128,7 +141,7 @@
 
 
 class Progress:
-    """A replay in parts, for whoever shows how far it is."""
+    """Runs a replay in equal parts so that a caller can show its progress."""
 
     def __init__(self, fleet: Fleet, length_s: float, parts: int) -> None:
         self._fleet = fleet
@@ -137,7 +150,7 @@
         self._played = 0
 
     def step(self) -> bool:
-        """Plays the next part; false if there is none."""
+        """Replays the next part; false if none is left."""
         if self._played >= self._parts:
             return False
         self._played += 1
@@ -148,9 +161,9 @@
 def play(
     load: loads.Load, policy: policies.Policy, seed: int
 ) -> tuple[tally.Ended, ...]:
-    """Plays a load whole and returns what came of each request and item."""
+    """Replays a whole load and returns the result of each request and item."""
     fleet = Fleet(load, policy, seed)
     progress = fleet.begin()
     while progress.step():
         pass
-    return fleet.ended()
+    return fleet.results()
--- a/packages/bench/bench/replay/items.py
+++ b/packages/bench/bench/replay/items.py
@@ -1,4 +1,4 @@
-"""Batch items of a replay, at the VM that accepted their job."""
+"""Runs the batch items of a replay at the VM that accepted their job."""
 
 import collections
 from typing import NamedTuple
@@ -13,25 +13,35 @@
 from gateway.decisions import batchorder
 from gateway.decisions import slotledger
 
-# As the gateway's runner has them.
-_FEED_S = 0.1
-_MOST_ASKED = 16
-_MOST_RUNS = 64
-_FIRST_RUN_S = 5.0
+# The same values as in the gateway's runner.
+_SCHEDULE_INTERVAL_S = 0.1
+_MAX_SLOTS_PER_REQUEST = 16
+_MAX_RUNS = 64
+_INITIAL_RUN_S = 5.0
 _RUN_WEIGHT = 0.1
+# Settings that the gateway takes from the route.
 _RETENTION_S = 60.0
 _MAX_ATTEMPTS = 3
 
 
 class _Job(NamedTuple):
-    spec: loads.Jobs
-    came_s: float
+    """An accepted job.
+
+    Attributes:
+        kind: The kind of job.
+        arrived_s: When it was accepted, in seconds.
+        state: The state of its items.
+        events: The number of events of each item's answer.
+    """
+
+    kind: loads.Jobs
+    arrived_s: float
     state: jobstate.JobState
     events: tuple[int, ...]
 
 
-class _Asked(NamedTuple):
-    """An item that asks for a slot."""
+class _Candidate(NamedTuple):
+    """An item that may request a slot."""
 
     job: _Job
     item: jobstate.ItemState
@@ -42,9 +52,10 @@
     """Runs the items of the jobs that it accepted.
 
     Args:
-        vm: Its name.
-        slots: Where it gets slots.
-        has_late_last: Whether items that cannot be in time come last.
+        vm: The name of the VM.
+        slots: Grants the slots.
+        has_late_last: Whether items that are expected to end late rank last;
+            otherwise only those already past their due time do.
     """
 
     def __init__(
@@ -55,20 +66,26 @@
         self._timeline = slots.timeline
         self._has_late_last = has_late_last
         self._jobs: list[_Job] = []
-        self._runs = 0
-        self._run_s = _FIRST_RUN_S
+        self._run_count = 0
+        self._mean_run_s = _INITIAL_RUN_S
         self._is_asking = False
-        self._done: dict[str, tally.End] = {}
+        self._ends: dict[str, tally.End] = {}
         self._cuts: collections.Counter[str] = collections.Counter()
 
     def start(self) -> None:
-        """Begins to ask for slots."""
-        self._timeline.after(_FEED_S, self._feed)
+        """Schedules the first request for slots."""
+        self._timeline.after(_SCHEDULE_INTERVAL_S, self._schedule)
 
     def accept(
-        self, spec: loads.Jobs, name: str, events: tuple[int, ...]
+        self, kind: loads.Jobs, name: str, events: tuple[int, ...]
     ) -> None:
-        """Accepts a job with an item for each answer's number of events."""
+        """Accepts a job.
+
+        Args:
+            kind: The kind of job.
+            name: The unique name of the job.
+            events: The number of events of each item's answer.
+        """
         now_s = self._timeline.now_s
         rows = tuple(
             dialect.JobItem(f"{name}/{row}", "/", {}, b"")
@@ -84,117 +101,119 @@
             1,
             _MAX_ATTEMPTS,
             _RETENTION_S,
-            spec.due_s,
+            kind.due_s,
         )
         state = jobstate.JobState(meta, rows, jobstate.HeldClaim(1), ())
-        self._jobs.append(_Job(spec, now_s, state, events))
+        self._jobs.append(_Job(kind, now_s, state, events))
 
-    def ended(self) -> list[tally.Ended]:
-        """Returns what came of each item."""
+    def results(self) -> list[tally.Ended]:
+        """Returns the result of each item so far."""
         return [
-            self._ended(job, name)
+            self._result(job, name)
             for job in self._jobs
             for name in job.state.meta.items
         ]
 
-    def _ended(self, job: _Job, name: str) -> tally.Ended:
-        spec = job.spec
-        end = self._done.get(name, "unfinished")
-        worth = {"in_time": spec.worth, "late": spec.late_worth}.get(end, 0.0)
+    def _result(self, job: _Job, name: str) -> tally.Ended:
+        kind = job.kind
+        end = self._ends.get(name, "unfinished")
+        worth = {"in_time": kind.worth, "late": kind.late_worth}.get(end, 0.0)
         return tally.Ended(
-            spec.name,
-            job.came_s,
+            kind.name,
+            job.arrived_s,
             end,
             worth,
-            spec.worth,
+            kind.worth,
             cuts=self._cuts[name],
         )
 
-    def _feed(self) -> None:
-        self._timeline.after(_FEED_S, self._feed)
-        room = min(_MOST_ASKED, _MOST_RUNS - self._runs)
+    def _schedule(self) -> None:
+        self._timeline.after(_SCHEDULE_INTERVAL_S, self._schedule)
+        count = min(_MAX_SLOTS_PER_REQUEST, _MAX_RUNS - self._run_count)
         rows = sorted(
-            self._ready(), key=lambda row: batchorder.rank(row.priority)
-        )[:room]
+            self._candidates(), key=lambda row: batchorder.rank(row.priority)
+        )[:count]
         if self._is_asking or not rows:
             return
         self._is_asking = True
-        asked = [
-            slotledger.BatchRun(self._slots.name(self._vm), row.priority)
+        runs = [
+            slotledger.BatchRun(self._slots.new_run(self._vm), row.priority)
             for row in rows
         ]
 
         def on_engines(engines: tuple[str, ...]) -> None:
             self._is_asking = False
-            for instance, run, row in zip(engines, asked, rows, strict=False):
-                self._begin(run.run, instance, row)
+            for instance, run, row in zip(engines, runs, rows, strict=False):
+                self._start_run(run.run, instance, row)
 
-        self._slots.take_batch(self._vm, asked, on_engines)
+        self._slots.take_batch(self._vm, runs, on_engines)
 
-    def _ready(self) -> list[_Asked]:
+    def _candidates(self) -> list[_Candidate]:
         now_s = self._timeline.now_s
-        run_s = self._run_s if self._has_late_last else 0.0
+        run_s = self._mean_run_s if self._has_late_last else 0.0
         moment = jobstate.Moment(now_s, now_s, run_s)
         return [
-            _Asked(job, item, job.state.priority(item, moment))
+            _Candidate(job, item, job.state.priority(item, moment))
             for job in self._jobs
             for item in job.state.ready(moment)
         ]
 
-    def _begin(self, run: str, instance: str, row: _Asked) -> None:
+    def _start_run(self, run: str, instance: str, row: _Candidate) -> None:
         job, item = row.job, row.item
         if not job.state.take(item):
             return
-        self._runs += 1
+        self._run_count += 1
         item.begin(self._timeline.now_s)
-        held = slots_lib.Held(
+        held_slot = slots_lib.HeldSlot(
             slotledger.ReportRow(run, instance, row.priority),
             self._vm,
-            lambda: self._cut(run, instance, row),
+            lambda: self._interrupt(run, instance, row),
         )
-        self._slots.hold(run, held)
+        self._slots.hold(run, held_slot)
         index = job.state.meta.items.index(item.item.item)
-        came = len(item.output)
+        received_events = len(item.output)
 
-        def hear() -> None:
+        def on_event() -> None:
             if self._slots.is_held(run):
                 item.output.append("")
 
-        def finish() -> None:
+        def on_end() -> None:
             if self._slots.is_held(run):
                 self._finish(run, row)
 
-        # What came before a cut is read like a part of the prompt.
-        work = engine_lib.Work(
-            job.spec.prompt_tokens + came * self._slots.tokens_per_event,
-            job.events[index] - came,
-            hear,
-            finish,
+        # Output from before an interruption is read as part of the prompt.
+        request = engine_lib.Request(
+            job.kind.prompt_tokens
+            + received_events * self._slots.tokens_per_event,
+            job.events[index] - received_events,
+            on_event,
+            on_end,
         )
         self._slots.send(
-            run, instance, work, lambda: self._cut(run, instance, row)
+            run, instance, request, lambda: self._interrupt(run, instance, row)
         )
 
-    def _cut(self, run: str, instance: str, row: _Asked) -> None:
+    def _interrupt(self, run: str, instance: str, row: _Candidate) -> None:
+        """Stops a run that was preempted or refused; its item waits again."""
         if not self._slots.is_held(run):
             return
         self._cuts[row.item.item.item] += 1
         self._slots.cancel(run, instance)
-        self._give_back(run, row, "unknown")
+        self._release(run, row, "unknown")
         row.job.state.put_back(row.item)
 
-    def _finish(self, run: str, row: _Asked) -> None:
+    def _finish(self, run: str, row: _Candidate) -> None:
         now_s = self._timeline.now_s
         took_s = row.item.elapsed_s(now_s)
-        self._run_s += (took_s - self._run_s) * _RUN_WEIGHT
-        self._give_back(run, row, "ok")
+        self._mean_run_s += (took_s - self._mean_run_s) * _RUN_WEIGHT
+        self._release(run, row, "ok")
         row.job.state.mark_listed(row.item)
         is_late = now_s > row.job.state.due_s
-        self._done[row.item.item.item] = "late" if is_late else "in_time"
+        self._ends[row.item.item.item] = "late" if is_late else "in_time"
 
-    def _give_back(
-        self, run: str, row: _Asked, outcome: slotledger.Outcome
+    def _release(
+        self, run: str, row: _Candidate, outcome: slotledger.Outcome
     ) -> None:
-        self._runs -= 1
+        self._run_count -= 1
         row.item.end(self._timeline.now_s)
         self._slots.release(run, outcome)
--- a/packages/bench/bench/replay/loads.py
+++ b/packages/bench/bench/replay/loads.py
@@ -1,4 +1,4 @@
-"""Loads as data: upstreams, VMs, and what is asked of them, in TOML files."""
+"""Reads loads from TOML files: upstreams, VMs, and their requests and jobs."""
 
 import pathlib
 import tomllib
@@ -11,19 +11,23 @@
 
 
 class Engines(NamedTuple):
-    """Upstreams that run a model in batches, all alike.
+    """Identical upstreams that run a model in batches.
 
     Attributes:
-        replicas: How many there are.
-        slots: Requests that one runs at once.
-        queue: Requests that may wait inside one; beyond them it is busy.
-        memory_tokens: Of all prompts and outputs that one holds.
-        step_s: Of one token for each request that runs.
-        step_per_run_s: By how much a step grows with each of them.
-        prefill_tokens_per_s: Prompt tokens read a second.
-        chunk_tokens: Prompt tokens read in one step, at most.
-        begin_s: From a request's turn until its prompt is read.
-        tokens_per_event: Of a stream.
+        replicas: The number of upstreams.
+        slots: The most requests that one upstream runs at once.
+        queue: The most requests that wait in one upstream, at least 1; it
+            refuses more as busy.
+        memory_tokens: The most tokens of prompts and outputs that the running
+            requests of one upstream take.
+        step_s: The base length of a step, in seconds. A step generates one
+            token for each running request.
+        step_per_run_s: The seconds that each running request adds to a step.
+        prefill_tokens_per_s: The prompt tokens read per second.
+        chunk_tokens: The most prompt tokens read in one step.
+        begin_s: The seconds between the admission of a request and its first
+            step.
+        tokens_per_event: The number of tokens per event of a stream.
     """
 
     replicas: int
@@ -39,7 +43,14 @@
 
 
 class Slow(NamedTuple):
-    """A spell in which one upstream's steps take longer."""
+    """A period in which the steps of one upstream take longer.
+
+    Attributes:
+        engine: The index of the upstream.
+        at_s: The start of the period, in seconds.
+        for_s: The length of the period, in seconds.
+        factor: The factor by which steps are longer.
+    """
 
     engine: int
     at_s: float
@@ -48,30 +59,40 @@
 
 
 class Step(NamedTuple):
-    """From when on a rate is multiplied by what."""
+    """A change of a rate.
+
+    Attributes:
+        at_s: When it takes effect, in seconds.
+        factor: The factor of the base rate from then on.
+    """
 
     at_s: float
     factor: float
 
 
 class Streams(NamedTuple):
-    """Online requests of one kind, answered by streams.
+    """A kind of online request that is answered by a stream.
 
     Attributes:
-        name: Of the kind.
-        per_s: Requests a second.
-        prompt_tokens: Of each.
-        events: Of each answer on the mean.
-        spread: Of the number of events, as a part of the mean.
-        target_s: When the first event is due.
-        pause_target_s: The longest pause between two events on time.
-        max_attempts: Runs that a request may have.
-        returns: How often a refused caller comes back.
-        worth: Of an answer on time.
-        late_worth: Of one that is late.
-        steps: How the rate changes; the last one stays.
-        period_s: After which the steps begin anew; 0 if they do not.
-        is_even: Whether requests come in even steps, not by chance.
+        name: The name of the kind.
+        per_s: The base rate, in requests per second.
+        prompt_tokens: The length of each prompt.
+        events: The mean number of events of an answer.
+        spread: The standard deviation of the number of events, as a share of
+            the mean.
+        target_s: The target for the time to the first event, in seconds.
+        pause_target_s: The longest pause between two events of an answer that
+            counts as in time, in seconds.
+        max_attempts: The most runs of a request.
+        returns: How often a caller retries a refused request.
+        worth: The worth of an answer in time.
+        late_worth: The worth of a late answer.
+        steps: The changes of the rate in the order of their times; the last
+            one stays in effect.
+        period_s: The period after which the steps repeat, in seconds; 0 if
+            they do not.
+        is_even: Whether requests arrive at even intervals, not as a Poisson
+            process.
     """
 
     name: str
@@ -90,28 +111,30 @@
     is_even: bool = False
 
     def rate(self, now_s: float) -> float:
-        """Returns the requests a second at a time."""
+        """Returns the rate at time `now_s`, in requests per second."""
         at_s = now_s % self.period_s if self.period_s else now_s
         factors = [step.factor for step in self.steps if step.at_s <= at_s]
         return self.per_s * (factors[-1] if factors else 1.0)
 
 
 class Jobs(NamedTuple):
-    """Batch jobs of one kind.
+    """A kind of batch job.
 
     Attributes:
-        name: Of the kind.
-        per_s: Jobs a second.
-        items: Of each job on the mean.
-        prompt_tokens: Of each item.
-        events: Of each item's answer on the mean.
-        spread: Of items and events, as a part of the mean.
-        due_s: How long after its acceptance a job is due.
-        worth: Of an item on time.
-        late_worth: Of one that is late.
-        at_s: When jobs come besides.
-        lengths: Of a job's answers one after the other, as parts of
-            `events`.
+        name: The name of the kind.
+        per_s: The mean rate of a Poisson process, in jobs per second; 0 for
+            none but those of `at_s`.
+        items: The mean number of items of a job.
+        prompt_tokens: The length of each item's prompt.
+        events: The mean number of events of an item's answer.
+        spread: The standard deviation of the numbers of items and events, as a
+            share of their means.
+        due_s: The seconds from the acceptance of a job to its due time.
+        worth: The worth of an item in time.
+        late_worth: The worth of a late item.
+        at_s: The times of additional jobs, in seconds.
+        lengths: The mean lengths of the answers of a job's items in turn, as
+            multiples of `events`; repeated if there are more items.
     """
 
     name: str
@@ -128,16 +151,16 @@
 
 
 class Load(NamedTuple):
-    """What is played.
+    """A load to replay.
 
     Attributes:
-        length_s: How long.
-        vms: How many VMs take requests.
-        message_s: Of a message one way.
+        length_s: The length of the replay, in seconds.
+        vms: The number of VMs that take requests.
+        message_s: The one-way latency of a message, in seconds.
         engines: The upstreams.
         streams: The kinds of online requests.
         jobs: The kinds of batch jobs.
-        slow: Spells of slow upstreams.
+        slow: The periods in which upstreams are slow.
     """
 
     length_s: float
@@ -150,17 +173,20 @@
 
 
 class LoadError(errors.UserError):
-    """A load cannot be read or makes no sense."""
+    """A load cannot be read or is invalid."""
 
 
 def read(name: str) -> Load:
-    """Returns the load of a file, or one of those that come along.
+    """Returns a bundled load or the load of a file.
+
+    Args:
+        name: The name of a bundled load, or the path of a TOML file.
 
     Raises:
-        LoadError: There is none, or it is wrong.
+        LoadError: The load does not exist or is invalid.
     """
-    kept = FOLDER / f"{name}.toml"
-    path = kept if kept.is_file() else pathlib.Path(name)
+    bundled = FOLDER / f"{name}.toml"
+    path = bundled if bundled.is_file() else pathlib.Path(name)
     try:
         value = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -174,7 +200,7 @@
 
 
 def names() -> tuple[str, ...]:
-    """Returns the names of the loads that come along."""
+    """Returns the names of the bundled loads."""
     return tuple(sorted(path.stem for path in FOLDER.glob("*.toml")))
 
 
@@ -186,21 +212,30 @@
     for field, value in load.engines._asdict().items():
         if not value and field not in ("queue", "begin_s", "step_per_run_s"):
             raise LoadError(f"{name}: engines.{field} must be more than 0")
-    if any(spell.engine >= load.engines.replicas for spell in load.slow):
+    if any(slowdown.engine >= load.engines.replicas for slowdown in load.slow):
         raise LoadError(
             f"{name}: slow.engine must be less than engines.replicas"
         )
-    if any(not spell.factor for spell in load.slow):
+    if any(not slowdown.factor for slowdown in load.slow):
         raise LoadError(f"{name}: slow.factor must be more than 0")
 
 
 def _check_numbers(name: str, where: str, value: Any) -> None:
-    """Fails on a number below 0, wherever it stands."""
+    """Checks that no number in a value is negative.
+
+    Args:
+        name: The name of the load.
+        where: The path of the value in the load.
+        value: A number, a string, or a tuple of values.
+
+    Raises:
+        LoadError: A number is negative.
+    """
     if hasattr(value, "_asdict"):
-        for field, inner in value._asdict().items():
-            _check_numbers(name, f"{where}.{field}", inner)
+        for field, element in value._asdict().items():
+            _check_numbers(name, f"{where}.{field}", element)
     elif isinstance(value, tuple):
-        for index, inner in enumerate(value):
-            _check_numbers(name, f"{where}[{index}]", inner)
+        for index, element in enumerate(value):
+            _check_numbers(name, f"{where}[{index}]", element)
     elif not isinstance(value, str) and cast(float, value) < 0:
         raise LoadError(f"{name}: {where} must not be negative")
--- a/packages/bench/bench/replay/plot.py
+++ b/packages/bench/bench/replay/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a replay over time."""
+"""Plots the results of a replay over time."""
 
 from collections.abc import Iterable, Sequence
 import pathlib
@@ -17,15 +17,22 @@
 
 
 def write(
-    path: pathlib.Path, ended: Iterable[tally.Ended], length_s: float
+    path: pathlib.Path, results: Iterable[tally.Ended], length_s: float
 ) -> None:
-    """Writes a PNG: for each kind and second in which it came, how it ended.
+    """Writes a PNG with a chart for each kind of request.
+
+    A chart shows for each second how the requests that arrived in it ended.
+
+    Args:
+        path: The path of the file.
+        results: The results of the replay.
+        length_s: The length of the replay, in seconds.
 
     Raises:
-        OSError: It cannot be written.
+        OSError: The file cannot be written.
     """
-    every = tuple(ended)
-    kinds = sorted({one.kind for one in every})
+    all_results = tuple(results)
+    kinds = sorted({result.kind for result in all_results})
     width, height = _SIZE_INCHES
     figure = figure_lib.Figure(
         (width, height * max(1, len(kinds))), layout="constrained"
@@ -35,7 +42,7 @@
     for kind, axes in zip(kinds, all_axes, strict=False):
         bottom = [0] * len(seconds)
         for end in tally.ENDS:
-            counts = _counts(every, kind, end, seconds)
+            counts = _counts(all_results, kind, end, seconds)
             axes.bar(
                 seconds,
                 counts,
@@ -46,19 +53,19 @@
                 label=end.replace("_", " "),
             )
             bottom = [a + b for a, b in zip(bottom, counts, strict=True)]
-        axes.set(title=kind, xlabel="came at, s", ylabel="a second")
+        axes.set(title=kind, xlabel="arrival time, s", ylabel="per second")
         axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0))
     figure.savefig(path, format="png")
 
 
 def _counts(
-    ended: Iterable[tally.Ended],
+    outcomes: Iterable[tally.Ended],
     kind: str,
     end: tally.End,
     seconds: Sequence[int],
 ) -> list[int]:
     counts = [0] * len(seconds)
-    for one in ended:
-        if one.kind == kind and one.end == end:
-            counts[int(one.came_s)] += 1
+    for result in outcomes:
+        if result.kind == kind and result.end == end:
+            counts[int(result.arrived_s)] += 1
     return counts
--- a/packages/bench/bench/replay/policies.py
+++ b/packages/bench/bench/replay/policies.py
@@ -1,4 +1,7 @@
-"""What is decided in a replay: as the gateway does, or one thing otherwise."""
+"""The policies of replays.
+
+A policy is the decision code of the gateway, as it is or with one change.
+"""
 
 from collections.abc import Callable, Iterable
 import random
@@ -8,44 +11,44 @@
 from gateway.decisions import slotledger
 from gateway.decisions import streamtimeouts
 
-# Of a target.
-_EARLY_SHARE = 0.6
+# Share of the target after which a silent stream is retried early.
+_EARLY_TARGET_SHARE = 0.6
 
 
-class Retries(Protocol):
-    """When a stream that does not begin is begun elsewhere."""
+class FirstEventTimeouts(Protocol):
+    """The time after which a silent stream is retried at another upstream."""
 
     def record_send(self) -> None:
-        """Notes a stream that was sent to an upstream."""
+        """Records that a stream was sent to an upstream."""
 
     def record_given_up(self) -> None:
-        """Notes a stream that was given up as silent."""
+        """Records that a stream was given up as silent."""
 
     def record_first_event(self, route: str, took_s: float) -> None:
-        """Notes how long a stream with a free slot took to begin."""
+        """Records the time to the first event of a stream with a free slot."""
 
     def first_event_timeout_s(
         self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
-        """Returns how long a stream may take to begin."""
+        """Returns how long a stream may take to its first event, in seconds."""
 
 
 class Policy(NamedTuple):
-    """The decisions of one replay.
+    """The decision code of a replay.
 
     Attributes:
-        ledger: Makes what gives slots.
-        retries: Makes a VM's retries with streams.
-        has_late_last: Whether items that cannot be in time come last.
+        make_ledger: Creates the ledger that grants the slots.
+        make_timeouts: Creates the first-event timeouts of a VM.
+        has_late_last: Whether items that are expected to end late rank last.
     """
 
-    ledger: Callable[[random.Random], slotledger.Ledger]
-    retries: Callable[[], Retries]
+    make_ledger: Callable[[random.Random], slotledger.Ledger]
+    make_timeouts: Callable[[], FirstEventTimeouts]
     has_late_last: bool = True
 
 
 class _WithoutPreemption(slotledger.Ledger):
-    """Never takes a slot from a batch item."""
+    """Never preempts a batch item."""
 
     def _preemption_victim(
         self,
@@ -58,28 +61,28 @@
 
 
 class _EarlyRetries(streamtimeouts.StreamTimeouts):
-    """Retries a stream early whatever is usual, without a budget."""
+    """Retries silent streams early, without a budget or past times."""
 
     def record_given_up(self) -> None:
-        """See `Retries`."""
+        """See `FirstEventTimeouts`."""
 
     def first_event_timeout_s(
         self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
-        """See `Retries`."""
+        """See `FirstEventTimeouts`."""
         del route
         if not starts_at_once:
             return streamtimeouts.default_timeout_s(target_s)
-        return target_s * _EARLY_SHARE
+        return target_s * _EARLY_TARGET_SHARE
 
 
 class _NoEarlyRetries(streamtimeouts.StreamTimeouts):
-    """Never gives up a stream early."""
+    """Never retries a stream before the default timeout."""
 
     def first_event_timeout_s(
         self, route: str, target_s: float, *, starts_at_once: bool
     ) -> float:
-        """See `Retries`."""
+        """See `FirstEventTimeouts`."""
         del route, starts_at_once
         return streamtimeouts.default_timeout_s(target_s)
 
@@ -87,8 +90,8 @@
 _PRODUCT = Policy(slotledger.Ledger, streamtimeouts.StreamTimeouts)
 POLICIES = {
     "product": _PRODUCT,
-    "no-preemption": _PRODUCT._replace(ledger=_WithoutPreemption),
-    "early-retry": _PRODUCT._replace(retries=_EarlyRetries),
-    "no-early-retry": _PRODUCT._replace(retries=_NoEarlyRetries),
+    "no-preemption": _PRODUCT._replace(make_ledger=_WithoutPreemption),
+    "early-retry": _PRODUCT._replace(make_timeouts=_EarlyRetries),
+    "no-early-retry": _PRODUCT._replace(make_timeouts=_NoEarlyRetries),
     "by-due-time": _PRODUCT._replace(has_late_last=False),
 }
--- a/packages/bench/bench/replay/report.py
+++ b/packages/bench/bench/replay/report.py
@@ -1,4 +1,4 @@
-"""The figures of several replays as a table."""
+"""Formats the figures of several replays as a table."""
 
 from collections.abc import Sequence
 
@@ -20,39 +20,39 @@
 _MS = 1000.0
 
 
-def table(plays: Sequence[Sequence[tally.Row]]) -> list[list[str]]:
-    """Returns the head, and a row for each kind: mean, least and most.
+def table(replays: Sequence[Sequence[tally.Row]]) -> list[list[str]]:
+    """Returns a header and a row for each kind, with mean, minimum and maximum.
 
     Args:
-        plays: The rows of each replay.
+        replays: The rows of each replay.
     """
-    kinds = sorted({row.kind for rows in plays for row in rows})
-    found = [list(_HEAD)]
+    kinds = sorted({row.kind for rows in replays for row in rows})
+    lines = [list(_HEAD)]
     for kind in kinds:
-        same = [row for rows in plays for row in rows if row.kind == kind]
-        found.append(_line(kind, same))
-    return found
+        of_kind = [row for rows in replays for row in rows if row.kind == kind]
+        lines.append(_line(kind, of_kind))
+    return lines
 
 
 def _line(kind: str, rows: Sequence[tally.Row]) -> list[str]:
     return [
         kind,
-        _shown([row.asked for row in rows], ".0f"),
-        _shown([row.worth for row in rows], ".3f"),
-        _shown([row.in_time for row in rows], ".3f"),
-        _shown([row.late for row in rows], ".3f"),
-        _shown([row.refused for row in rows], ".3f"),
-        _shown([row.unfinished for row in rows], ".3f"),
-        _shown([row.p50_s * _MS for row in rows], ".0f"),
-        _shown([row.p95_s * _MS for row in rows], ".0f"),
-        _shown([row.cuts for row in rows], ".0f"),
-        f"{max(row.most_cuts for row in rows)}",
+        _format([row.total for row in rows], ".0f"),
+        _format([row.worth for row in rows], ".3f"),
+        _format([row.in_time for row in rows], ".3f"),
+        _format([row.late for row in rows], ".3f"),
+        _format([row.refused for row in rows], ".3f"),
+        _format([row.unfinished for row in rows], ".3f"),
+        _format([row.p50_s * _MS for row in rows], ".0f"),
+        _format([row.p95_s * _MS for row in rows], ".0f"),
+        _format([row.cuts for row in rows], ".0f"),
+        f"{max(row.max_cuts for row in rows)}",
     ]
 
 
-def _shown(figures: Sequence[float], form: str) -> str:
+def _format(figures: Sequence[float], format_spec: str) -> str:
     spread = tally.spread(figures)
     if spread.least == spread.most:
-        return format(spread.mean, form)
-    between = f"{spread.least:{form}}-{spread.most:{form}}"
-    return f"{spread.mean:{form}} ({between})"
+        return format(spread.mean, format_spec)
+    bounds = f"{spread.least:{format_spec}}-{spread.most:{format_spec}}"
+    return f"{spread.mean:{format_spec}} ({bounds})"
--- a/packages/bench/bench/replay/slots.py
+++ b/packages/bench/bench/replay/slots.py
@@ -1,4 +1,4 @@
-"""Slots in a replay: what a VM asks the leader, and what it sends upstream."""
+"""Messages of a replay: VMs request slots and send requests to engines."""
 
 from collections.abc import Callable, Mapping, Sequence
 import functools
@@ -10,37 +10,41 @@
 from gateway import records
 from gateway.decisions import slotledger
 
-# Between two of a VM's reports of what it runs, and two of the ledger's looks
-# for VMs that are silent.
-_REPORT_S = 1.0
+# Interval between reports of the VMs on their runs, and between the ledger's
+# checks for silent VMs.
+_REPORT_INTERVAL_S = 1.0
 _SERVICE = "llm"
 
-OnTaken = Callable[[slotledger.Grant | slotledger.Refusal], None]
+OnDecision = Callable[[slotledger.Grant | slotledger.Refusal], None]
 OnEngines = Callable[[tuple[str, ...]], None]
 
 
-class Held(NamedTuple):
+class HeldSlot(NamedTuple):
     """A run that has a slot.
 
     Attributes:
-        row: As its VM reports it.
-        vm: Whose it is.
-        on_cut: Called when it has to give its slot up.
+        row: The run as its VM reports it.
+        vm: The name of the VM.
+        on_preempted: Called when the run is preempted.
     """
 
     row: slotledger.ReportRow
     vm: str
-    on_cut: Callable[[], None]
+    on_preempted: Callable[[], None]
 
 
 class Slots:
-    """The leader's ledger and the engines, each a message away.
+    """Access to the leader's ledger and the engines, with message latency.
 
     Args:
-        timeline: Where messages arrive.
-        load: How long they take.
-        ledger: What decides.
-        engines: By the names that the ledger knows.
+        timeline: Delivers the messages.
+        load: Sets the latency of messages and the slots of an engine.
+        ledger: Grants the slots.
+        engines: The engines by their names in the ledger.
+
+    Attributes:
+        timeline: The same as in the arguments.
+        tokens_per_event: The number of tokens per event of a stream.
     """
 
     def __init__(
@@ -55,20 +59,20 @@
         self._message_s = load.message_s
         self._ledger = ledger
         self._engines = engines
-        self._held: dict[str, Held] = {}
-        self._runs = 0
+        self._held: dict[str, HeldSlot] = {}
+        self._run_count = 0
         ledger.set_engines(
             records.Upstream(
                 name, _SERVICE, "", "", load.engines.slots, False, 0
             )
             for name in engines
         )
-        timeline.after(_REPORT_S, self._report)
+        timeline.after(_REPORT_INTERVAL_S, self._report_all)
 
-    def name(self, vm: str) -> str:
-        """Returns a name for a run."""
-        self._runs += 1
-        return f"{vm}.{self._runs}"
+    def new_run(self, vm: str) -> str:
+        """Returns a unique name for a new run of a VM."""
+        self._run_count += 1
+        return f"{vm}.{self._run_count}"
 
     def take_online(
         self,
@@ -76,52 +80,67 @@
         vm: str,
         target_s: float,
         excluded: Sequence[str],
-        on_taken: OnTaken,
+        on_decision: OnDecision,
     ) -> None:
-        """Asks for a slot for an online request."""
+        """Requests a slot for an online request.
+
+        Args:
+            run: The unique name of the run.
+            vm: The VM that sends the request.
+            target_s: The target for the first event, in seconds.
+            excluded: Engines that must not be used.
+            on_decision: Called at the VM with the grant or the refusal.
+        """
 
         def decide() -> None:
-            taken = self._ledger.take_online(
+            decision = self._ledger.take_online(
                 run,
                 vm,
                 self.timeline.now_s,
                 target_s=target_s,
                 excluded=excluded,
             )
-            if isinstance(taken, slotledger.Grant):
-                for victim in taken.preempted:
-                    self._later(functools.partial(self._cut, victim))
-            self._later(lambda: on_taken(taken))
+            if isinstance(decision, slotledger.Grant):
+                for victim in decision.preempted:
+                    self._deliver(functools.partial(self._preempt, victim))
+            self._deliver(lambda: on_decision(decision))
 
-        self._later(decide)
+        self._deliver(decide)
 
     def take_batch(
         self,
         vm: str,
-        asked: Sequence[slotledger.BatchRun],
+        runs: Sequence[slotledger.BatchRun],
         on_engines: OnEngines,
     ) -> None:
-        """Asks for slots for batch items."""
+        """Requests slots for batch items.
+
+        Args:
+            vm: The VM that runs the items.
+            runs: The items in the order of their rank.
+            on_engines: Called at the VM with the engines for the first items,
+                one for each that got a slot.
+        """
 
         def decide() -> None:
-            found = self._ledger.take_batch(vm, asked, self.timeline.now_s)
-            self._later(lambda: on_engines(found))
+            granted = self._ledger.take_batch(vm, runs, self.timeline.now_s)
+            self._deliver(lambda: on_engines(granted))
 
-        self._later(decide)
+        self._deliver(decide)
 
-    def hold(self, run: str, held: Held) -> None:
-        """Notes that a VM has a slot and can be asked to give it up."""
-        self._held[run] = held
+    def hold(self, run: str, slot: HeldSlot) -> None:
+        """Records that a run holds a slot, so that it is reported."""
+        self._held[run] = slot
 
     def is_held(self, run: str) -> bool:
-        """Tells whether a run still has its slot, as its VM knows it."""
+        """Returns whether a run has its slot from the view of its VM."""
         return run in self._held
 
     def release(self, run: str, outcome: slotledger.Outcome) -> None:
-        """Gives a slot back."""
+        """Releases the slot of a run; does nothing if it has none."""
         if self._held.pop(run, None) is None:
             return
-        self._later(
+        self._deliver(
             lambda: self._ledger.release(
                 run, self.timeline.now_s, outcome=outcome
             )
@@ -131,45 +150,53 @@
         self,
         run: str,
         instance: str,
-        work: engine_lib.Work,
+        request: engine_lib.Request,
         on_busy: Callable[[], None],
     ) -> None:
-        """Sends a request to an engine; its events take as long back."""
-        upstream = self._engines[instance]
-        delayed = work._replace(
-            on_event=lambda: self._later(work.on_event),
-            on_end=lambda: self._later(work.on_end),
+        """Sends a request to an engine; its events are delayed like messages.
+
+        Args:
+            run: The unique name of the run.
+            instance: The name of the engine.
+            request: The request.
+            on_busy: Called at the VM if the engine is busy.
+        """
+        engine = self._engines[instance]
+        delayed = request._replace(
+            on_event=lambda: self._deliver(request.on_event),
+            on_end=lambda: self._deliver(request.on_end),
         )
 
         def arrive() -> None:
-            if not upstream.submit(run, delayed):
-                self._later(on_busy)
+            if not engine.submit(run, delayed):
+                self._deliver(on_busy)
                 return
-            load = slotledger.Load(instance, upstream.busy())
-            self._later(
+            load = slotledger.Load(instance, engine.request_count())
+            self._deliver(
                 lambda: self._ledger.record_load(load, self.timeline.now_s)
             )
 
-        self._later(arrive)
+        self._deliver(arrive)
 
     def cancel(self, run: str, instance: str) -> None:
-        """Breaks a request off."""
-        self._later(lambda: self._engines[instance].cancel(run))
+        """Cancels the request of a run at an engine."""
+        self._deliver(lambda: self._engines[instance].cancel(run))
 
-    def _cut(self, run: str) -> None:
-        held = self._held.get(run)
-        if held is not None:
-            held.on_cut()
+    def _preempt(self, run: str) -> None:
+        slot = self._held.get(run)
+        if slot is not None:
+            slot.on_preempted()
 
-    def _later(self, action: timeline_lib.Action) -> None:
+    def _deliver(self, action: timeline_lib.Action) -> None:
+        """Runs an action after the latency of one message."""
         self.timeline.after(self._message_s, action)
 
-    def _report(self) -> None:
+    def _report_all(self) -> None:
         now_s = self.timeline.now_s
         by_vm: dict[str, list[slotledger.ReportRow]] = {}
-        for held in self._held.values():
-            by_vm.setdefault(held.vm, []).append(held.row)
+        for slot in self._held.values():
+            by_vm.setdefault(slot.vm, []).append(slot.row)
         for vm, rows in by_vm.items():
             self._ledger.report(vm, rows, now_s)
         self._ledger.expire(now_s)
-        self.timeline.after(_REPORT_S, self._report)
+        self.timeline.after(_REPORT_INTERVAL_S, self._report_all)
--- a/packages/bench/bench/replay/streams.py
+++ b/packages/bench/bench/replay/streams.py
@@ -1,4 +1,4 @@
-"""Online streams of a replay, at the VM that took them."""
+"""Runs the online streams of a replay at the VMs that received them."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,121 +12,142 @@
 
 
 class _Request:
-    """A stream on its way.
+    """An online request and the state of its stream.
 
     Attributes:
-        spec: Its kind.
-        events: That it will have.
-        came_s: When its caller asked first.
-        asked_s: When its caller asked last.
-        returns: How often its caller came back.
-        runs: At engines so far.
-        tried: The engines.
-        run: Names its run of now; empty if there is none.
-        first_s: When its first event came; 0 if none did.
-        last_s: When its latest event came.
-        longest_s: The longest pause between two events.
-        end: How it ended; `None` while it goes on.
+        kind: The kind of request.
+        events: The number of events of the answer.
+        arrived_s: When the caller first sent it, in seconds.
+        last_asked_s: When the caller last sent it, in seconds.
+        caller_retries: How often the caller retried it after a refusal.
+        run_count: The number of runs at engines so far.
+        tried: The engines of these runs.
+        run: The name of the current run; empty if there is none.
+        first_event_at_s: When the first event arrived, in seconds; 0 if none
+            did.
+        last_event_at_s: When the latest event arrived, in seconds.
+        longest_pause_s: The longest pause between two events, in seconds.
+        end: How it ended; `None` until then.
     """
 
-    def __init__(self, spec: loads.Streams, events: int, now_s: float) -> None:
-        self.spec = spec
+    def __init__(self, kind: loads.Streams, events: int, now_s: float) -> None:
+        self.kind = kind
         self.events = events
-        self.came_s = self.asked_s = now_s
-        self.returns = 0
-        self.runs = 0
+        self.arrived_s = self.last_asked_s = now_s
+        self.caller_retries = 0
+        self.run_count = 0
         self.tried: list[str] = []
         self.run = ""
-        self.first_s = self.last_s = self.longest_s = 0.0
+        self.first_event_at_s = self.last_event_at_s = self.longest_pause_s = (
+            0.0
+        )
         self.end: tally.End | None = None
 
     def may_run_again(self) -> bool:
-        """Tells whether it may have a run besides the one it has."""
-        return self.runs < self.spec.max_attempts
+        """Returns whether the request may have another run."""
+        return self.run_count < self.kind.max_attempts
 
     def is_in_time(self) -> bool:
-        """Tells whether it began in time and did not pause too long."""
-        began_s = self.first_s - self.asked_s
-        has_paused = self.longest_s > self.spec.pause_target_s
-        return began_s <= self.spec.target_s and not has_paused
+        """Returns whether the first event and all pauses met their targets."""
+        began_s = self.first_event_at_s - self.last_asked_s
+        has_paused = self.longest_pause_s > self.kind.pause_target_s
+        return began_s <= self.kind.target_s and not has_paused
 
 
-class _Sent(NamedTuple):
-    """When a run was sent, and whether it waits inside its engine."""
+class _SentRun(NamedTuple):
+    """A run at the time it was sent.
+
+    Attributes:
+        at_s: When it was sent, in seconds.
+        is_queued: Whether it has to wait in the engine's queue.
+    """
 
     at_s: float
     is_queued: bool
 
 
 class StreamVm:
-    """Takes streams, gets slots for them and begins silent ones elsewhere."""
+    """Runs streams at one VM and retries silent ones at other engines.
+
+    Args:
+        vm: The name of the VM.
+        slots: Grants the slots and sends the requests.
+        timeouts: Decides when a silent stream is retried.
+    """
 
     def __init__(
-        self, vm: str, slots: slots_lib.Slots, retries: policies.Retries
+        self,
+        vm: str,
+        slots: slots_lib.Slots,
+        timeouts: policies.FirstEventTimeouts,
     ) -> None:
         self._vm = vm
         self._slots = slots
         self._timeline = slots.timeline
-        self._retries = retries
+        self._timeouts = timeouts
         self._requests: list[_Request] = []
 
-    def take(self, spec: loads.Streams, events: int) -> None:
-        """Takes a request."""
-        request = _Request(spec, events, self._timeline.now_s)
+    def take(self, kind: loads.Streams, events: int) -> None:
+        """Receives a request whose answer has a number of events."""
+        request = _Request(kind, events, self._timeline.now_s)
         self._requests.append(request)
-        self._place(request)
+        self._request_slot(request)
 
-    def ended(self) -> list[tally.Ended]:
-        """Returns what came of each request."""
-        return [_ended(request) for request in self._requests]
+    def results(self) -> list[tally.Ended]:
+        """Returns the result of each request so far."""
+        return [_result(request) for request in self._requests]
 
-    def _place(self, request: _Request) -> None:
-        run = self._slots.name(self._vm)
+    def _request_slot(self, request: _Request) -> None:
+        run = self._slots.new_run(self._vm)
 
-        def on_taken(taken: slotledger.Grant | slotledger.Refusal) -> None:
-            if isinstance(taken, slotledger.Refusal):
-                self._refuse(request, taken.retry_after_s)
+        def on_decision(
+            decision: slotledger.Grant | slotledger.Refusal,
+        ) -> None:
+            if isinstance(decision, slotledger.Refusal):
+                self._refuse(request, decision.retry_after_s)
                 return
-            self._send(request, run, taken)
+            self._send(request, run, decision)
 
         self._slots.take_online(
-            run, self._vm, request.spec.target_s, request.tried, on_taken
+            run, self._vm, request.kind.target_s, request.tried, on_decision
         )
 
     def _refuse(self, request: _Request, retry_after_s: float) -> None:
-        if request.runs or request.returns >= request.spec.returns:
+        if request.run_count or request.caller_retries >= request.kind.returns:
             request.end = "refused"
             return
-        request.returns += 1
+        request.caller_retries += 1
 
-        def come_back() -> None:
-            request.asked_s = self._timeline.now_s
-            self._place(request)
+        def ask_again() -> None:
+            request.last_asked_s = self._timeline.now_s
+            self._request_slot(request)
 
-        self._timeline.after(retry_after_s, come_back)
+        self._timeline.after(retry_after_s, ask_again)
 
     def _send(
         self, request: _Request, run: str, grant: slotledger.Grant
     ) -> None:
         request.run = run
-        request.runs += 1
+        request.run_count += 1
         request.tried.append(grant.instance)
         row = slotledger.ReportRow(run, grant.instance)
-        held = slots_lib.Held(row, self._vm, lambda: None)
-        self._slots.hold(run, held)
+        slot = slots_lib.HeldSlot(row, self._vm, lambda: None)
+        self._slots.hold(run, slot)
 
-        sent = _Sent(self._timeline.now_s, grant.is_queued)
-        work = engine_lib.Work(
-            request.spec.prompt_tokens,
+        sent = _SentRun(self._timeline.now_s, grant.is_queued)
+        engine_request = engine_lib.Request(
+            request.kind.prompt_tokens,
             request.events,
-            self._for_run(request, run, lambda: self._hear(request, sent)),
-            self._for_run(request, run, lambda: self._finish(request, run)),
+            self._if_current(
+                request, run, lambda: self._record_event(request, sent)
+            ),
+            self._if_current(request, run, lambda: self._finish(request, run)),
         )
         self._slots.send(
             run,
             grant.instance,
-            work,
-            self._for_run(
+            engine_request,
+            self._if_current(
                 request,
                 run,
                 lambda: self._end(request, run, "refused", "failed"),
@@ -134,25 +155,25 @@
         )
         if not request.may_run_again():
             return
-        self._retries.record_send()
-        silence_s = self._retries.first_event_timeout_s(
-            request.spec.name,
-            request.spec.target_s,
+        self._timeouts.record_send()
+        timeout_s = self._timeouts.first_event_timeout_s(
+            request.kind.name,
+            request.kind.target_s,
             starts_at_once=not grant.is_queued,
         )
         self._timeline.after(
-            silence_s,
-            self._for_run(
+            timeout_s,
+            self._if_current(
                 request,
                 run,
-                lambda: self._look(request, run, grant.instance),
+                lambda: self._check_first_event(request, run, grant.instance),
             ),
         )
 
-    def _for_run(
+    def _if_current(
         self, request: _Request, run: str, action: Callable[[], None]
     ) -> Callable[[], None]:
-        """Returns an action that does nothing once another run has begun."""
+        """Wraps an action to do nothing unless `run` is the current run."""
 
         def act() -> None:
             if request.run == run:
@@ -160,27 +181,29 @@
 
         return act
 
-    def _hear(self, request: _Request, sent: _Sent) -> None:
+    def _record_event(self, request: _Request, sent: _SentRun) -> None:
         now_s = self._timeline.now_s
-        if not request.first_s and not sent.is_queued:
+        if not request.first_event_at_s and not sent.is_queued:
             took_s = now_s - sent.at_s
-            self._retries.record_first_event(request.spec.name, took_s)
-        if request.first_s:
-            pause_s = now_s - request.last_s
-            request.longest_s = max(request.longest_s, pause_s)
+            self._timeouts.record_first_event(request.kind.name, took_s)
+        if request.first_event_at_s:
+            pause_s = now_s - request.last_event_at_s
+            request.longest_pause_s = max(request.longest_pause_s, pause_s)
         else:
-            request.first_s = now_s
-        request.last_s = now_s
+            request.first_event_at_s = now_s
+        request.last_event_at_s = now_s
 
-    def _look(self, request: _Request, run: str, instance: str) -> None:
-        """Begins a stream elsewhere that has not begun."""
-        if request.first_s:
+    def _check_first_event(
+        self, request: _Request, run: str, instance: str
+    ) -> None:
+        """Retries a stream at another engine if it has no event yet."""
+        if request.first_event_at_s:
             return
-        self._retries.record_given_up()
+        self._timeouts.record_given_up()
         self._slots.cancel(run, instance)
         self._slots.release(run, "failed")
         request.run = ""
-        self._place(request)
+        self._request_slot(request)
 
     def _finish(self, request: _Request, run: str) -> None:
         end: tally.End = "in_time" if request.is_in_time() else "late"
@@ -198,12 +221,22 @@
         self._slots.release(run, outcome)
 
 
-def _ended(request: _Request) -> tally.Ended:
-    spec = request.spec
+def _result(request: _Request) -> tally.Ended:
+    kind = request.kind
     end = request.end or "unfinished"
-    worth = {"in_time": spec.worth, "late": spec.late_worth}.get(end, 0.0)
-    first_s = request.first_s - request.asked_s if request.first_s else 0.0
-    cuts = max(0, request.runs - 1)
+    worth = {"in_time": kind.worth, "late": kind.late_worth}.get(end, 0.0)
+    first_event_s = (
+        request.first_event_at_s - request.last_asked_s
+        if request.first_event_at_s
+        else 0.0
+    )
+    cuts = max(0, request.run_count - 1)
     return tally.Ended(
-        spec.name, request.came_s, end, worth, spec.worth, first_s, cuts
+        kind.name,
+        request.arrived_s,
+        end,
+        worth,
+        kind.worth,
+        first_event_s,
+        cuts,
     )
--- a/packages/bench/bench/replay/tally.py
+++ b/packages/bench/bench/replay/tally.py
@@ -1,4 +1,4 @@
-"""What came of the requests and items of a replay."""
+"""Results of the requests and items of a replay, and their statistics."""
 
 from collections.abc import Iterable, Sequence
 import statistics
@@ -9,46 +9,47 @@
 
 
 class Ended(NamedTuple):
-    """One request or item.
+    """The result of one request or item.
 
     Attributes:
-        kind: Of request.
-        came_s: When it came.
+        kind: The name of the kind of request or job.
+        arrived_s: When it arrived, in seconds.
         end: How it ended.
-        worth: What that is worth.
-        most_worth: What it could have been.
-        first_event_s: How long its first event took; 0 if none came.
-        cuts: How often it gave up its slot, or was begun elsewhere.
+        worth: The worth of its answer.
+        max_worth: The worth of an answer in time.
+        first_event_s: The time to the first event, in seconds; 0 for batch
+            items and if there was no event.
+        cuts: How often it lost its slot or was retried at another engine.
     """
 
     kind: str
-    came_s: float
+    arrived_s: float
     end: End
     worth: float
-    most_worth: float
+    max_worth: float
     first_event_s: float = 0.0
     cuts: int = 0
 
 
 class Row(NamedTuple):
-    """One kind in one replay.
+    """The statistics of one kind in one replay.
 
     Attributes:
-        kind: Of request.
-        asked: How many came.
-        in_time: Shares of those by their ends.
-        late: As above.
-        refused: As above.
-        unfinished: As above.
-        worth: Of what was possible.
-        p50_s: Half of the first events came sooner.
-        p95_s: All but a twentieth did.
-        cuts: All together.
-        most_cuts: Of one request or item.
+        kind: The name of the kind; "all" for all kinds together.
+        total: The number of requests or items.
+        in_time: The share of them that ended in time.
+        late: The share that ended late.
+        refused: The share that was refused.
+        unfinished: The share that has not ended.
+        worth: The worth of all answers, as a share of the largest possible.
+        p50_s: The median time to the first event, in seconds.
+        p95_s: The 95th percentile of the time to the first event, in seconds.
+        cuts: The sum of `Ended.cuts`.
+        max_cuts: The maximum of `Ended.cuts`.
     """
 
     kind: str
-    asked: int
+    total: int
     in_time: float
     late: float
     refused: float
@@ -57,41 +58,49 @@
     p50_s: float
     p95_s: float
     cuts: int
-    most_cuts: int
+    max_cuts: int
 
 
 class Spread(NamedTuple):
-    """A figure over several replays."""
+    """The mean, minimum and maximum of a figure over several replays."""
 
     mean: float
     least: float
     most: float
 
 
-def rows(ended: Iterable[Ended]) -> tuple[Row, ...]:
-    """Returns a row for each kind, and one for all."""
-    every = tuple(ended)
-    kinds = sorted({one.kind for one in every})
-    found = [
-        _row(kind, [one for one in every if one.kind == kind]) for kind in kinds
+def rows(results: Iterable[Ended]) -> tuple[Row, ...]:
+    """Returns a row for each kind, and one for all kinds together."""
+    all_results = tuple(results)
+    kinds = sorted({result.kind for result in all_results})
+    kind_rows = [
+        _row(kind, [result for result in all_results if result.kind == kind])
+        for kind in kinds
     ]
-    return (*found, _row("all", every))
-
-
-def _row(kind: str, ended: Sequence[Ended]) -> Row:
-    count = max(1, len(ended))
-    shares = {end: sum(one.end == end for one in ended) / count for end in ENDS}
-    possible = sum(one.most_worth for one in ended)
-    firsts = sorted(one.first_event_s for one in ended if one.first_event_s)
+    return (*kind_rows, _row("all", all_results))
+
+
+def _row(kind: str, results: Sequence[Ended]) -> Row:
+    count = max(1, len(results))
+    shares = {
+        end: sum(result.end == end for result in results) / count
+        for end in ENDS
+    }
+    max_worth = sum(result.max_worth for result in results)
+    first_event_times_s = sorted(
+        result.first_event_s for result in results if result.first_event_s
+    )
     return Row(
         kind,
-        len(ended),
+        len(results),
         **shares,
-        worth=sum(one.worth for one in ended) / possible if possible else 0.0,
-        p50_s=_quantile(firsts, 0.5),
-        p95_s=_quantile(firsts, 0.95),
-        cuts=sum(one.cuts for one in ended),
-        most_cuts=max((one.cuts for one in ended), default=0),
+        worth=sum(result.worth for result in results) / max_worth
+        if max_worth
+        else 0.0,
+        p50_s=_quantile(first_event_times_s, 0.5),
+        p95_s=_quantile(first_event_times_s, 0.95),
+        cuts=sum(result.cuts for result in results),
+        max_cuts=max((result.cuts for result in results), default=0),
     )
 
 
@@ -102,5 +111,5 @@
 
 
 def spread(figures: Sequence[float]) -> Spread:
-    """Returns the mean of figures, the least and the most."""
+    """Returns the mean, minimum and maximum of figures."""
     return Spread(statistics.fmean(figures), min(figures), max(figures))
--- a/packages/bench/bench/replay/timeline.py
+++ b/packages/bench/bench/replay/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time: actions run in the order of their times."""
+"""Virtual time, in which actions run in the order of their times."""
 
 from collections.abc import Callable
 import heapq
@@ -8,20 +8,24 @@
 
 
 class Timeline:
-    """Runs actions at their times; those of one time as they were added."""
+    """Runs actions at their times; equal times in the order of addition.
+
+    Attributes:
+        now_s: The current time, in seconds.
+    """
 
     def __init__(self) -> None:
         self.now_s = 0.0
-        self._count = itertools.count()
+        self._sequence = itertools.count()
         self._actions: list[tuple[float, int, Action]] = []
 
     def after(self, delay_s: float, action: Action) -> None:
-        """Runs an action so much later."""
-        row = (self.now_s + delay_s, next(self._count), action)
-        heapq.heappush(self._actions, row)
+        """Schedules an action `delay_s` seconds from now."""
+        entry = (self.now_s + delay_s, next(self._sequence), action)
+        heapq.heappush(self._actions, entry)
 
     def run(self, until_s: float) -> None:
-        """Runs all actions before a time and moves on to it."""
+        """Runs all actions before `until_s` and advances the time to it."""
         while self._actions and self._actions[0][0] < until_s:
             self.now_s, _, action = heapq.heappop(self._actions)
             action()
--- a/tests/bench/test_loads.py
+++ b/tests/bench/test_loads.py
@@ -1,4 +1,4 @@
-"""Loads in files, and what is said of wrong ones."""
+"""Tests the reading of loads and the errors for invalid ones."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("name", loads.names())
-def test_loads_that_come_along_can_be_read(name: str) -> None:
+def test_bundled_loads_can_be_read(name: str) -> None:
     assert loads.read(name).vms > 0
 
 
@@ -24,7 +24,7 @@
         (("due_s = 18", "due_s = -1"), "jobs[0].due_s must not be negative"),
     ],
 )
-def test_a_wrong_load_is_named(
+def test_the_error_names_what_is_wrong_in_a_load(
     tmp_path: pathlib.Path, change: tuple[str, str], message: str
 ) -> None:
     text = (loads.FOLDER / "backlog.toml").read_text()
@@ -36,15 +36,17 @@
     assert message in str(raised.value)
 
 
-def test_a_spell_names_an_engine_that_there_is(tmp_path: pathlib.Path) -> None:
-    spell = "\n[[slow]]\nengine = 2\nat_s = 1\nfor_s = 1\nfactor = 2\n"
+def test_a_slow_period_of_a_missing_engine_is_rejected(
+    tmp_path: pathlib.Path,
+) -> None:
+    slowdown = "\n[[slow]]\nengine = 2\nat_s = 1\nfor_s = 1\nfactor = 2\n"
     path = tmp_path / "wrong.toml"
-    path.write_text((loads.FOLDER / "backlog.toml").read_text() + spell)
+    path.write_text((loads.FOLDER / "backlog.toml").read_text() + slowdown)
     with pytest.raises(loads.LoadError, match=r"slow\.engine"):
         loads.read(str(path))
 
 
-def test_steps_begin_anew_after_their_period() -> None:
+def test_rate_steps_repeat_after_their_period() -> None:
     streams = loads.read("bursts").streams[0]
     rates = [streams.rate(at_s) for at_s in (0.0, 3.9, 6.7, 10.5)]
     assert rates[0] == rates[2] < rates[1] == rates[3]
