--- a/packages/bench/bench/replay/items.py
+++ b/packages/bench/bench/replay/items.py
@@ -55,7 +55,7 @@
         vm: The name of the VM.
         slots: Grants the slots.
         has_late_last: Whether items that are expected to end late rank last;
-            otherwise only those already past their due time do.
+            if not, the expected length of a run counts as 0.
     """
 
     def __init__(
--- a/packages/bench/bench/replay/policies.py
+++ b/packages/bench/bench/replay/policies.py
@@ -61,7 +61,7 @@
 
 
 class _EarlyRetries(streamtimeouts.StreamTimeouts):
-    """Retries silent streams early, without a budget or past times."""
+    """Retries silent streams early, ignoring the budget and usual times."""
 
     def record_given_up(self) -> None:
         """See `FirstEventTimeouts`."""
