--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A randomized soak of real processes with faults from outside them.
+"""A randomized soak test that injects faults into real gateway processes.
 
-`python -m soak` starts gateways as processes on loopback, puts a proxy into
-each link, plays a series of faults drawn from a seed, and checks all the while
-what callers got against what upstreams ran.
+`python -m soak` starts gateways as processes on loopback, connects them through
+proxies and injects a series of faults drawn from a seed. Afterwards it compares
+the responses that callers received with the requests that upstreams executed.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak`: plays seeds and says which of them break a promise."""
+"""`python -m soak`: runs seeds and prints the guarantees that were violated."""
 
 import argparse
 from concurrent import futures
@@ -9,53 +9,63 @@
 from soak import kept
 from soak import playing
 
-# Each VM takes about 60 MB; a few dozen processes are the usual size.
-_VMS = 4
-_LENGTH_S = 12.0
-_MAX_LINES = 8
+# Each VM process takes about 60 MB of memory; a run of several seeds usually
+# has a few dozen processes.
+_DEFAULT_VMS = 4
+_DEFAULT_LENGTH_S = 12.0
+_MAX_PROBLEM_LINES = 8
 
 
 def main() -> int:
-    """Plays the seeds asked for; returns 1 if one breaks a promise."""
+    """Runs the requested seeds; returns 1 if one violates a guarantee."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("seeds", nargs="*", type=int)
-    parser.add_argument("--fresh", type=int, default=0, help="seeds drawn now")
     parser.add_argument(
-        "--kept", action="store_true", help="seeds that failed once"
+        "--fresh", type=int, default=0, help="number of additional random seeds"
+    )
+    parser.add_argument(
+        "--kept",
+        action="store_true",
+        help="also run the seeds that failed before",
     )
     parser.add_argument("--at-once", type=int, default=2)
-    parser.add_argument("--length-s", type=float, default=_LENGTH_S)
-    parser.add_argument("--vms", type=int, default=_VMS)
-    asked = parser.parse_args()
+    parser.add_argument("--length-s", type=float, default=_DEFAULT_LENGTH_S)
+    parser.add_argument("--vms", type=int, default=_DEFAULT_VMS)
+    arguments = parser.parse_args()
     seeds = [
-        *asked.seeds,
-        *(sorted({row.seed for row in kept.SEEDS}) if asked.kept else ()),
-        *(secrets.randbelow(10**6) for _ in range(asked.fresh)),
+        *arguments.seeds,
+        *(sorted({row.seed for row in kept.SEEDS}) if arguments.kept else ()),
+        *(secrets.randbelow(10**6) for _ in range(arguments.fresh)),
     ]
     failed = 0
     with futures.ProcessPoolExecutor(
-        asked.at_once,
+        arguments.at_once,
         multiprocessing.get_context("spawn"),
         max_tasks_per_child=1,
     ) as pool:
-        played = {
+        seeds_by_future = {
             pool.submit(
-                playing.play, seed, 10 + index % 200, asked.length_s, asked.vms
+                playing.play,
+                seed,
+                10 + index % 200,
+                arguments.length_s,
+                arguments.vms,
             ): seed
             for index, seed in enumerate(seeds)
         }
-        for done in futures.as_completed(played):
-            row = done.result()
-            failed += bool(row.problems)
+        for future in futures.as_completed(seeds_by_future):
+            result = future.result()
+            failed += bool(result.problems)
             sys.stdout.write(
-                f"seed {played[done]}: {len(row.problems)} problems, "
-                f"{row.served} of {row.sent} requests served, "
-                f"{row.accepted} jobs with {row.listed} results\n"
+                f"seed {seeds_by_future[future]}: "
+                f"{len(result.problems)} problems, "
+                f"{result.served} of {result.sent} requests served, "
+                f"{result.accepted} jobs with {result.listed} results\n"
             )
-            for line in row.problems[:_MAX_LINES]:
+            for line in result.problems[:_MAX_PROBLEM_LINES]:
                 sys.stdout.write(f"    {line}\n")
             sys.stdout.flush()
-    sys.stdout.write(f"{len(seeds)} seeds, {failed} with a promise broken\n")
+    sys.stdout.write(f"{len(seeds)} seeds, {failed} violated a guarantee\n")
     return 1 if failed else 0
 
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that go on whatever happens, and note all that they get."""
+"""Callers that keep sending despite errors and record every response."""
 
 import base64
 import http.client
@@ -14,56 +14,70 @@
 Kind = Literal["safe", "unsafe", "once", "resumed"]
 
 _DEADLINE_S = 3.0
-_TRIES = 3
+_MAX_TRIES = 3
 _HOST = "h.example"
 
 
 class Attempt(NamedTuple):
-    """One request as its caller saw it.
+    """One request and the response that its caller received.
 
     Attributes:
-        attempt: Its id.
-        kind: What the route allows to be repeated.
-        key: The caller's key.
-        body: What was sent.
-        sent_s: When, by the monotonic clock.
-        status: 0 if there was no answer.
-        signed: Whether an upstream vouches for it.
-        echoed: The id in the answer.
-        answer: What was read of the body.
-        is_whole: Whether the answer ended as it should.
+        attempt_id: The id of the request.
+        kind: The kind of the route. `safe` and `unsafe` say whether a request
+            may be repeated. `once` and `resumed` answer with streams; only
+            those of `resumed` may be resumed after a break.
+        key: The API key of the caller.
+        body: The request body.
+        sent_s: When it was sent, on the monotonic clock.
+        status: The status of the response, 0 without a response.
+        has_stamp: Whether the response has the stamp of an upstream.
+        echoed_id: The request id in the response.
+        answer: The part of the response body that was read.
+        is_complete: Whether the response body was read to its end.
     """
 
-    attempt: str
+    attempt_id: str
     kind: Kind
     key: str
     body: bytes
     sent_s: float
     status: int = 0
-    signed: bool = False
-    echoed: str = ""
+    has_stamp: bool = False
+    echoed_id: str = ""
     answer: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 class Job:
-    """A batch job as its caller saw it."""
+    """A batch job and the responses that its caller received.
 
-    def __init__(self, job: str, items: list[str]) -> None:
-        self.job = job
+    Attributes:
+        job_id: The id of the job.
+        items: The ids of its items.
+        statuses: The statuses of the attempts to submit it.
+        accepted_s: When it was accepted, on the monotonic clock; 0 if it was
+            not.
+        cancelled_s: When it was cancelled, on the monotonic clock; 0 if it was
+            not.
+        results: The results that were read, by their numbers.
+        problems: One line for each violated guarantee.
+    """
+
+    def __init__(self, job_id: str, items: list[str]) -> None:
+        self.job_id = job_id
         self.items = items
         self.statuses: list[int] = []
         self.accepted_s = 0.0
-        self.ended_s = 0.0
-        self.rows: dict[int, Any] = {}
+        self.cancelled_s = 0.0
+        self.results: dict[int, Any] = {}
         self.problems: list[str] = []
 
     def body(self) -> bytes:
-        """Returns the job as it is submitted."""
+        """Returns the request body that submits the job."""
         rows = [
             {
                 "id": item,
-                "path": f"/b/{self.job}/{item}",
+                "path": f"/b/{self.job_id}/{item}",
                 "headers": {},
                 "body": base64.b64encode(item.encode()).decode(),
                 "tokens": 9,
@@ -72,21 +86,31 @@
         ]
         return json.dumps({"items": rows}).encode()
 
-    def read(self, status: int, after: int, page: Any) -> None:
-        """Notes a page of results; what was read never changes."""
+    def record_page(self, status: int, after: int, page: Any) -> None:
+        """Records a page of results; a result never changes once read."""
         if status in (404, 410) and time.monotonic() > self.accepted_s + 1:
-            self.problems.append(f"job {self.job} is {status}")
+            self.problems.append(
+                f"job {self.job_id}: status {status} for its results"
+            )
         if status != 200:
             return
         if page["total"] != len(self.items):
-            self.problems.append(f"job {self.job} has total {page['total']}")
+            self.problems.append(f"job {self.job_id} has total {page['total']}")
         for number, row in enumerate(page["results"], after):
-            if self.rows.setdefault(number, row) != row:
-                self.problems.append(f"job {self.job}: {number} has changed")
+            if self.results.setdefault(number, row) != row:
+                self.problems.append(
+                    f"job {self.job_id}: result {number} has changed"
+                )
 
 
 class Callers:
-    """Threads that send requests and jobs over the VMs' links."""
+    """Threads that send requests and jobs to the VMs through their links.
+
+    Attributes:
+        attempts: The requests that were sent, without probes and job calls.
+        jobs: The jobs, also those that were not accepted.
+        probes: The ids of the probe requests.
+    """
 
     def __init__(self, fleet: fleet_lib.Fleet, rng: random.Random) -> None:
         self._fleet = fleet
@@ -98,8 +122,12 @@
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Begins to send."""
-        targets = [self._request] * 5 + [self._press] + [self._submit] * 2
+        """Starts the threads."""
+        targets = (
+            [self._send_requests] * 5
+            + [self._exceed_rate]
+            + [self._submit_jobs] * 2
+        )
         for number, target in enumerate(targets):
             rng = random.Random(f"{self._seed} {number}")
             thread = threading.Thread(
@@ -109,12 +137,12 @@
             self._threads.append(thread)
 
     def stop(self) -> None:
-        """Ends sending and waits for what is open."""
+        """Stops sending and waits until open calls have ended."""
         self._stopping.set()
         for thread in self._threads:
             thread.join(60.0)
 
-    def _request(self, rng: random.Random, name: str) -> None:
+    def _send_requests(self, rng: random.Random, name: str) -> None:
         connections: dict[str, http.client.HTTPConnection] = {}
         for number in range(100_000):
             if self._stopping.wait(rng.uniform(0.01, 0.1)):
@@ -122,16 +150,16 @@
             kinds: tuple[Kind, ...] = ("safe", "unsafe", "once", "resumed")
             kind = rng.choice(kinds)
             key = rng.choice(["key-0", "key-0", "key-0", "key-1", "wrong"])
-            for again in range(_TRIES):
+            for retry in range(_MAX_TRIES):
                 vm = rng.choice(self._fleet.vms)
-                attempt = f"{name}.{number}.{again}"
-                made = self._send(connections, vm, attempt, kind, key)
-                if not _may_retry(made):
+                attempt_id = f"{name}.{number}.{retry}"
+                attempt = self._send(connections, vm, attempt_id, kind, key)
+                if not _may_retry(attempt):
                     break
                 self._stopping.wait(0.2)
 
-    def _press(self, rng: random.Random, name: str) -> None:
-        """Sends far more than a customer's row allows."""
+    def _exceed_rate(self, rng: random.Random, name: str) -> None:
+        """Sends far more than a customer's configured rate allows."""
         connections: dict[str, http.client.HTTPConnection] = {}
         for number in range(100_000):
             if self._stopping.wait(0.02):
@@ -145,15 +173,15 @@
         self,
         connections: dict[str, http.client.HTTPConnection],
         vm: fleet_lib.Vm,
-        attempt: str,
+        attempt_id: str,
         kind: Kind,
         key: str,
     ) -> Attempt:
         prefix = {"once": "s/once", "resumed": "s"}.get(kind, kind)
-        body = f"body of {attempt}".encode()
-        made = Attempt(attempt, kind, key, body, time.monotonic())
-        # A kept connection is used until it fails, also one that went silent
-        # or leads to a process that stops.
+        body = f"body of {attempt_id}".encode()
+        attempt = Attempt(attempt_id, kind, key, body, time.monotonic())
+        # A connection is reused until it fails, even if it has gone silent or
+        # leads to a process that is stopping.
         connection = connections.pop(vm.name, None)
         if connection is None:
             connection = http.client.HTTPConnection(
@@ -162,31 +190,33 @@
         try:
             connection.request(
                 "POST",
-                f"/{prefix}/{attempt}",
+                f"/{prefix}/{attempt_id}",
                 body,
                 {
                     "Host": _HOST,
-                    "Bulrushdeal-Request-Attempt-Id": attempt,
+                    "Bulrushdeal-Request-Attempt-Id": attempt_id,
                     "Bulrushdeal-Credential": key,
                     "Bulrushdeal-Deadline-Ms": str(int(_DEADLINE_S * 1000)),
                 },
             )
             response = connection.getresponse()
-            made = made._replace(
+            attempt = attempt._replace(
                 status=response.status,
-                signed=bool(response.getheader("Bulrushdeal-Server-Stamp")),
-                echoed=response.getheader("Bulrushdeal-Request-Attempt-Id")
+                has_stamp=bool(response.getheader("Bulrushdeal-Server-Stamp")),
+                echoed_id=response.getheader("Bulrushdeal-Request-Attempt-Id")
                 or "",
             )
             try:
-                made = made._replace(answer=response.read(), is_whole=True)
+                attempt = attempt._replace(
+                    answer=response.read(), is_complete=True
+                )
                 connections[vm.name] = connection
             except http.client.IncompleteRead as error:
-                made = made._replace(answer=error.partial)
+                attempt = attempt._replace(answer=error.partial)
         except (OSError, http.client.HTTPException):
             connection.close()
-        self.attempts.append(made)
-        return made
+        self.attempts.append(attempt)
+        return attempt
 
     def call(
         self,
@@ -194,13 +224,17 @@
         method: str,
         path: str,
         body: bytes = b"",
-        attempt: str = "read",
+        attempt_id: str = "read",
     ) -> tuple[int, bytes]:
-        """Makes one call about a job; status 0 if there is no answer."""
+        """Makes one call with `key-0` on a new connection.
+
+        Returns:
+            The status and the body; status 0 if there is no response.
+        """
         connection = http.client.HTTPConnection(*vm.front.address, timeout=4.0)
         headers = {
             "Host": _HOST,
-            "Bulrushdeal-Request-Attempt-Id": attempt,
+            "Bulrushdeal-Request-Attempt-Id": attempt_id,
             "Bulrushdeal-Credential": "key-0",
             "Bulrushdeal-Wait-Ms": "300",
         }
@@ -214,24 +248,26 @@
             connection.close()
 
     def probe(self, vm: fleet_lib.Vm) -> bool:
-        """Tells whether a VM serves a request that may be repeated."""
-        attempt = f"probe-{len(self.probes)}"
-        self.probes.add(attempt)
-        status, _ = self.call(vm, "POST", f"/safe/{attempt}", b"", attempt)
+        """Returns whether a VM serves a request that may be repeated."""
+        attempt_id = f"probe-{len(self.probes)}"
+        self.probes.add(attempt_id)
+        status, _ = self.call(
+            vm, "POST", f"/safe/{attempt_id}", b"", attempt_id
+        )
         return status == 200
 
-    def _submit(self, rng: random.Random, name: str) -> None:
+    def _submit_jobs(self, rng: random.Random, name: str) -> None:
         for number in range(10_000):
             if self._stopping.wait(rng.uniform(0.5, 1.5)):
                 return
-            title = f"{name}-j{number}"
-            items = [f"{title}-{item}" for item in range(rng.randint(1, 6))]
-            job = Job(title, items)
+            job_id = f"{name}-j{number}"
+            items = [f"{job_id}-{item}" for item in range(rng.randint(1, 6))]
+            job = Job(job_id, items)
             self.jobs.append(job)
-            for _ in range(_TRIES):
+            for _ in range(_MAX_TRIES):
                 vm = rng.choice(self._fleet.vms)
                 status, _ = self.call(
-                    vm, "POST", f"/b/{title}", job.body(), title
+                    vm, "POST", f"/b/{job_id}", job.body(), job_id
                 )
                 job.statuses.append(status)
                 if status == 202:
@@ -241,23 +277,25 @@
             if not job.accepted_s:
                 continue
             for _ in range(rng.randint(1, 5)):
-                self.read(rng.choice(self._fleet.vms), job)
+                self.read_results(rng.choice(self._fleet.vms), job)
             if rng.random() < 0.15:
                 vm = rng.choice(self._fleet.vms)
-                status, _ = self.call(vm, "DELETE", f"/lots/{title}")
+                status, _ = self.call(vm, "DELETE", f"/lots/{job_id}")
                 if status == 200:
-                    job.ended_s = time.monotonic()
+                    job.cancelled_s = time.monotonic()
 
-    def read(self, vm: fleet_lib.Vm, job: Job) -> bool:
-        """Reads a job's next results; true once all are there."""
-        after = len(job.rows)
+    def read_results(self, vm: fleet_lib.Vm, job: Job) -> bool:
+        """Reads a job's next results; returns whether all have been read."""
+        after = len(job.results)
         query = urllib.parse.urlencode({"after": after})
-        status, body = self.call(vm, "GET", f"/lots/{job.job}?{query}")
-        job.read(status, after, json.loads(body) if status == 200 else None)
-        return len(job.rows) == len(job.items)
+        status, body = self.call(vm, "GET", f"/lots/{job.job_id}?{query}")
+        job.record_page(
+            status, after, json.loads(body) if status == 200 else None
+        )
+        return len(job.results) == len(job.items)
 
 
-def _may_retry(made: Attempt) -> bool:
-    if made.status in (429, 503):
+def _may_retry(attempt: Attempt) -> bool:
+    if attempt.status in (429, 503):
         return True
-    return made.kind == "safe" and made.status not in (200, 401, 404)
+    return attempt.kind == "safe" and attempt.status not in (200, 401, 404)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed, in series that overlap."""
+"""Draws series of overlapping faults from a seed and injects them."""
 
 from collections.abc import Callable
 import random
@@ -11,13 +11,24 @@
 from soak import links
 from support import gatewayengine
 
-_SHORTEST_S = 0.3
-_LONGEST_S = 4.0
-_INTERPRETER_S = 0.1
+_MIN_FAULT_S = 0.3
+_MAX_FAULT_S = 4.0
+# How long the interpreter takes to start; a program cannot handle signals
+# before that.
+_INTERPRETER_START_S = 0.1
 
 
 class Fault(NamedTuple):
-    """What happens, when, for how long and to whom."""
+    """A fault to inject.
+
+    Attributes:
+        at_s: When it begins, in seconds since the start of the series.
+        for_s: How long it lasts, in seconds.
+        kind: A key of `_ACTIONS`.
+        number: Selects the affected VM, link or upstream, and details of some
+            kinds.
+        how: The variant of the kind, from `_VARIANTS`; empty without variants.
+    """
 
     at_s: float
     for_s: float
@@ -27,9 +38,13 @@
 
 
 def draw(rng: random.Random, length_s: float) -> list[Fault]:
-    """Returns the faults of a seed, in the order of their times.
+    """Returns the faults of a series, ordered by the time they begin.
+
+    Some begin in bursts, so that several overlap in every seed.
 
-    Some come in bursts, so that several overlap in every seed.
+    Args:
+        rng: The generator from which the faults are drawn.
+        length_s: The period in which bursts begin, in seconds.
     """
     faults: list[Fault] = []
     at_s = 1.0
@@ -39,10 +54,10 @@
             faults.append(
                 Fault(
                     round(at_s + rng.uniform(0, 0.5), 2),
-                    round(rng.uniform(_SHORTEST_S, _LONGEST_S), 2),
+                    round(rng.uniform(_MIN_FAULT_S, _MAX_FAULT_S), 2),
                     kind,
                     rng.randrange(100),
-                    rng.choice(_HOWS.get(kind, ("",))),
+                    rng.choice(_VARIANTS.get(kind, ("",))),
                 )
             )
         at_s += rng.uniform(0.5, 3.0)
@@ -50,44 +65,49 @@
 
 
 class Player:
-    """Plays faults, each on a thread of its own."""
+    """Injects faults, each on its own thread.
+
+    Attributes:
+        revoked_s: When each withdrawn key was removed from the configuration,
+            on the monotonic clock.
+    """
 
     def __init__(self, fleet: fleet_lib.Fleet) -> None:
         self._fleet = fleet
-        # One process is not killed and paused at the same moment by two
-        # threads; series on one process come one after the other.
+        # One lock per VM: signals and restarts of one process must not
+        # overlap, for example a kill by one thread and a pause by another.
         self._locks = {vm.name: threading.Lock() for vm in fleet.vms}
         self.revoked_s: dict[str, float] = {}
 
     def play(self, faults: list[Fault]) -> None:
-        """Plays all and returns when the last one is over."""
-        begun_s = time.monotonic()
+        """Injects all faults and returns when the last one is over."""
+        start_s = time.monotonic()
         threads = []
         for fault in faults:
-            time.sleep(max(0.0, begun_s + fault.at_s - time.monotonic()))
-            self._note_ends()
+            time.sleep(max(0.0, start_s + fault.at_s - time.monotonic()))
+            self._restart_exited()
             thread = threading.Thread(target=self._run, args=(fault,))
             thread.start()
             threads.append(thread)
         for thread in threads:
             thread.join()
 
-    def _note_ends(self) -> None:
+    def _restart_exited(self) -> None:
         for vm in self._fleet.vms:
             if self._locks[vm.name].acquire(blocking=False):
                 try:
-                    self._fleet.note_end(vm)
+                    self._fleet.restart_if_exited(vm)
                 finally:
                     self._locks[vm.name].release()
 
     def _run(self, fault: Fault) -> None:
         _ACTIONS[fault.kind](self, fault)
 
-    def _vm(self, fault: Fault) -> fleet_lib.Vm:
+    def _target_vm(self, fault: Fault) -> fleet_lib.Vm:
         return self._fleet.vms[fault.number % len(self._fleet.vms)]
 
-    def _stop(self, fault: Fault) -> None:
-        vm = self._vm(fault)
+    def _restart(self, fault: Fault) -> None:
+        vm = self._target_vm(fault)
         with self._locks[vm.name]:
             if fault.how == "term":
                 self._fleet.terminate(vm)
@@ -97,7 +117,7 @@
             self._fleet.start(vm)
 
     def _pause(self, fault: Fault) -> None:
-        vm = self._vm(fault)
+        vm = self._target_vm(fault)
         with self._locks[vm.name]:
             assert vm.process is not None
             vm.process.send_signal(signal.SIGSTOP)
@@ -105,86 +125,86 @@
             vm.process.send_signal(signal.SIGCONT)
 
     def _reload(self, fault: Fault) -> None:
-        vm = self._vm(fault)
+        vm = self._target_vm(fault)
         with self._locks[vm.name]:
             assert vm.process is not None
-            # No program can catch a signal before its first line runs.
+            # Until the interpreter has started, SIGHUP would end the process.
             age_s = time.monotonic() - vm.started_s
-            time.sleep(max(0.0, _INTERPRETER_S - age_s))
+            time.sleep(max(0.0, _INTERPRETER_START_S - age_s))
             vm.process.send_signal(signal.SIGHUP)
 
     def _step_clock(self, fault: Fault) -> None:
-        clock = self._fleet.clock(self._vm(fault))
-        clock.write_text("3.0" if fault.number % 2 else "-3.0")
+        clock_file = self._fleet.clock_file(self._target_vm(fault))
+        clock_file.write_text("3.0" if fault.number % 2 else "-3.0")
         time.sleep(fault.for_s)
-        clock.write_text("0.0")
+        clock_file.write_text("0.0")
 
-    def _trouble_link(self, fault: Fault) -> None:
-        vm = self._vm(fault)
-        chosen = [*vm.all_links(), vm.front]
-        link = chosen[fault.number % len(chosen)]
-        _trouble([link], fault.how, fault.for_s)
+    def _disturb_link(self, fault: Fault) -> None:
+        vm = self._target_vm(fault)
+        candidates = [*vm.outgoing_links(), vm.front]
+        link = candidates[fault.number % len(candidates)]
+        _disturb([link], fault.how, fault.for_s)
 
     def _cut_vm(self, fault: Fault) -> None:
-        vm = self._vm(fault)
-        ways = [
+        vm = self._target_vm(fault)
+        targets = [
             *vm.peers.values(),
             *(row.peers[vm.name] for row in self._fleet.vms if row is not vm),
         ]
         if fault.number % 2:
-            ways.append(vm.store)
-        _trouble(ways, fault.how, fault.for_s)
+            targets.append(vm.store)
+        _disturb(targets, fault.how, fault.for_s)
 
-    def _trouble_store(self, fault: Fault) -> None:
+    def _disturb_store(self, fault: Fault) -> None:
         vms = self._fleet.vms
         if fault.number % 2:
             vms = [vm for vm in vms if (fault.number + len(vm.name)) % 2 == 0]
-            vms = vms or [self._vm(fault)]
+            vms = vms or [self._target_vm(fault)]
         for vm in vms:
-            vm.face.trouble = fault.how  # type: ignore[assignment]
+            vm.store_server.fault = fault.how  # type: ignore[assignment]
         time.sleep(fault.for_s)
         for vm in vms:
-            vm.face.trouble = ""
+            vm.store_server.fault = ""
 
-    def _forget(self, fault: Fault) -> None:
+    def _discard_history(self, fault: Fault) -> None:
         self._fleet.store.rows.forget_history()
         if fault.how == "lapse":
-            self._fleet.store.lapse()
+            self._fleet.store.end_all()
 
     def _crash_upstream(self, fault: Fault) -> None:
-        upstream = self._upstream(fault)
-        ways = [
+        upstream = self._target_upstream(fault)
+        targets = [
             vm.upstreams[upstream.name]
             for vm in self._fleet.vms
             if upstream.name in vm.upstreams
         ]
-        for link in ways:
+        for link in targets:
             link.mode = "silent" if fault.how == "dark" else "refuse"
             if fault.how != "dark":
                 link.reset()
         time.sleep(fault.for_s)
-        for link in ways:
+        for link in targets:
             link.mode = "pass"
 
     def _replace_upstream(self, fault: Fault) -> None:
-        upstream = self._upstream(fault)
+        upstream = self._target_upstream(fault)
         if fault.how == "drain":
             self._fleet.list_upstream(upstream, "draining")
             time.sleep(fault.for_s)
         self._fleet.unlist(upstream.name)
         self._fleet.replace(upstream)
 
-    def _spoil_answers(self, fault: Fault) -> None:
-        upstream = self._upstream(fault)
+    def _corrupt_answers(self, fault: Fault) -> None:
+        upstream = self._target_upstream(fault)
         upstream.engine.faults += [
             gatewayengine.Fault(fault.how, fault.number % 8)
         ] * (1 + fault.number % 4)
 
-    def _upstream(self, fault: Fault) -> fleet_lib.Upstream:
+    def _target_upstream(self, fault: Fault) -> fleet_lib.Upstream:
         upstreams = self._fleet.upstreams
         return upstreams[fault.number % len(upstreams)]
 
-    def _change_keys(self, fault: Fault) -> None:
+    def _withdraw_key(self, fault: Fault) -> None:
         if "key-1" in self.revoked_s:
             return
         if "key-1" not in self._fleet.keys["school"]:
@@ -194,30 +214,46 @@
         self.revoked_s["key-1"] = time.monotonic()
 
 
-def _trouble(ways: list[links.Link], how: str, for_s: float) -> None:
+def _disturb(targets: list[links.Link], how: str, for_s: float) -> None:
+    """Disturbs links for a time, or their open connections once.
+
+    Args:
+        targets: The links.
+        how: One of `_LINK_VARIANTS`.
+        for_s: How long, in seconds; unused for `reset` and `strand`, which act
+            once on the open connections.
+    """
     if how == "reset":
-        for link in ways:
+        for link in targets:
             link.reset()
         return
     if how == "strand":
-        for link in ways:
-            link.strand()
+        for link in targets:
+            link.stall_open()
         return
-    for link in ways:
+    for link in targets:
         if how == "delay":
             link.delay_s = 0.05
         else:
             link.mode = how  # type: ignore[assignment]
     time.sleep(for_s)
-    for link in ways:
+    for link in targets:
         link.delay_s = 0.0
         link.mode = "pass"
 
 
-_LINK_HOWS = ("delay", "reset", "silent", "deaf", "mute", "refuse", "strand")
-_HOWS = {
+_LINK_VARIANTS = (
+    "delay",
+    "reset",
+    "silent",
+    "deaf",
+    "mute",
+    "refuse",
+    "strand",
+)
+_VARIANTS = {
     "stop": ("term", "kill"),
-    "link": _LINK_HOWS,
+    "link": _LINK_VARIANTS,
     "cut": ("silent", "deaf", "mute", "reset", "strand"),
     "store": ("busy", "silent", "lost", "slow"),
     "forget": ("", "lapse"),
@@ -226,16 +262,16 @@
     "spoil": ("cut", "part", "busy", "error", "other", "unsigned"),
 }
 _ACTIONS: dict[str, Callable[[Player, Fault], None]] = {
-    "stop": Player._stop,
+    "stop": Player._restart,
     "pause": Player._pause,
     "reload": Player._reload,
     "clock": Player._step_clock,
-    "link": Player._trouble_link,
+    "link": Player._disturb_link,
     "cut": Player._cut_vm,
-    "store": Player._trouble_store,
-    "forget": Player._forget,
+    "store": Player._disturb_store,
+    "forget": Player._discard_history,
     "crash": Player._crash_upstream,
     "replace": Player._replace_upstream,
-    "spoil": Player._spoil_answers,
-    "keys": Player._change_keys,
+    "spoil": Player._corrupt_answers,
+    "keys": Player._withdraw_key,
 }
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes, stand-ins and links of one soak."""
+"""The gateway processes, stand-ins and links of one soak run."""
 
 import functools
 import http.client
@@ -19,9 +19,10 @@
 _ROOT = pathlib.Path(__file__).resolve().parents[2]
 _SHIM = pathlib.Path(__file__).resolve().parent / "shim"
 _GRACE_S = 5.0
-_START_S = 20.0
-EVENTS = 12
-_EVENT_S = 0.02
+_READY_TIMEOUT_S = 20.0
+# The number of events in the stream of each engine.
+EVENTS_PER_STREAM = 12
+_EVENT_INTERVAL_S = 0.02
 
 _SETTINGS = """
 node = "{name}"
@@ -43,44 +44,69 @@
 
 
 class Upstream:
-    """An engine that may crash and come back as another instance."""
+    """A stand-in engine that another instance may replace."""
 
     def __init__(self, name: str, domain: str) -> None:
         self.name = name
         self.domain = domain
-        self.engine = gatewayengine.Engine(name, EVENTS)
-        self.engine.pause_s = _EVENT_S
+        self.engine = gatewayengine.Engine(name, EVENTS_PER_STREAM)
+        self.engine.pause_s = _EVENT_INTERVAL_S
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The host and port on which the engine listens."""
         host, _, port = self.engine.address.rpartition(":")
         return host, int(port)
 
 
 class Vm:
-    """One gateway process, and the links that it uses."""
+    """One gateway process and its links.
+
+    Attributes:
+        name: Its name.
+        domain: Its failure domain.
+        ip: Its loopback address.
+        process: The current process, or the last one after it has ended.
+        should_run: Whether the process is meant to run, so that an exit is a
+            problem.
+        started_s: When the process was started, on the monotonic clock.
+        front: The link from callers to the process.
+        peers: The links to other VMs, by their names.
+        upstreams: The links to upstreams, by their names.
+        store: The link to `store_server`.
+        store_server: The server that gives this VM access to the store.
+    """
 
     def __init__(self, name: str, domain: str, ip: str) -> None:
         self.name = name
         self.domain = domain
         self.ip = ip
         self.process: subprocess.Popen[bytes] | None = None
-        self.is_wanted = False
+        self.should_run = False
         self.started_s = 0.0
         self.front = links.Link(lambda: (ip, 8405))
         self.peers: dict[str, links.Link] = {}
         self.upstreams: dict[str, links.Link] = {}
         self.store: links.Link
-        self.face: store_lib.Face
+        self.store_server: store_lib.StoreServer
 
-    def all_links(self) -> list[links.Link]:
-        """Returns what the VM uses towards others."""
+    def outgoing_links(self) -> list[links.Link]:
+        """Returns the links to the store, to other VMs and to upstreams."""
         return [self.store, *self.peers.values(), *self.upstreams.values()]
 
 
 class Fleet:
-    """Starts all, and ends by id what it has started."""
+    """Starts and stops the gateway processes and their stand-ins.
+
+    Attributes:
+        store: The store that all VMs share.
+        version: The version of the current configuration.
+        keys: The API keys of each customer.
+        problems: One line for each violated guarantee.
+        upstreams: The current upstreams.
+        vms: The VMs.
+        replaced_upstreams: Upstreams that were replaced; their engines stay up.
+    """
 
     def __init__(self, folder: pathlib.Path, number: int, vms: int) -> None:
         self._folder = folder
@@ -95,28 +121,28 @@
             Vm(f"vm{index}", f"d{index % 3}", f"127.{number}.1.{index + 1}")
             for index in range(vms)
         ]
-        self.past_upstreams: list[Upstream] = []
+        self.replaced_upstreams: list[Upstream] = []
         for vm in self.vms:
-            self._link(vm)
+            self._add_links(vm)
         self.configure()
         for upstream in self.upstreams:
             self.list_upstream(upstream)
 
-    def _link(self, vm: Vm) -> None:
+    def _add_links(self, vm: Vm) -> None:
         for other in self.vms:
             if other is not vm:
                 vm.peers[other.name] = links.Link(
-                    functools.partial(_pair, other.ip, 7660)
+                    functools.partial(_address, other.ip, 7660)
                 )
-        vm.face = store_lib.Face(
-            self.store, lambda field, name: self._rewrite(vm, field, name)
+        vm.store_server = store_lib.StoreServer(
+            self.store, lambda field, name: self._link_address(vm, field, name)
         )
-        vm.store = links.Link(lambda: vm.face.address)
+        vm.store = links.Link(lambda: vm.store_server.address)
 
-    def _rewrite(self, vm: Vm, field: str, name: str) -> str:
+    def _link_address(self, vm: Vm, field: str, name: str) -> str:
         if field == "peers":
             link = vm.peers.get(name)
-            return "" if link is None else link.text
+            return "" if link is None else link.host_port
         upstream = next(
             (row for row in self.upstreams if row.name == name), None
         )
@@ -124,10 +150,14 @@
             return ""
         if name not in vm.upstreams:
             vm.upstreams[name] = links.Link(lambda: upstream.address)
-        return vm.upstreams[name].text
+        return vm.upstreams[name].host_port
 
     def configure(self, **changes: list[str]) -> None:
-        """Writes a new version of the configuration, with changed keys."""
+        """Writes a new configuration version.
+
+        Args:
+            **changes: New API keys of customers, by their names.
+        """
         self.keys |= changes
         self.version += 3
         value = gatewayscene.configuration(
@@ -145,7 +175,7 @@
         self.store.rows.write("op/config", json.dumps(value).encode())
 
     def list_upstream(self, upstream: Upstream, state: str = "ready") -> None:
-        """Writes an upstream's entry."""
+        """Writes an upstream's entry to the store."""
         value: dict[str, Any] = {
             "service": "llm",
             "address": upstream.engine.address,
@@ -158,17 +188,17 @@
         self.store.rows.write(key, json.dumps(value).encode())
 
     def unlist(self, name: str) -> None:
-        """Removes an upstream's entry."""
+        """Removes an upstream's entry from the store."""
         self.store.rows.write(f"servers/{name}", None)
 
     def replace(self, upstream: Upstream) -> Upstream:
-        """Puts an upstream of another name in the place of one."""
+        """Replaces an upstream by a new one with another name."""
         name = f"{upstream.name.split('.')[0]}.{self.store.rows.revision}"
-        fresh = Upstream(name, upstream.domain)
-        self.upstreams[self.upstreams.index(upstream)] = fresh
-        self.past_upstreams.append(upstream)
-        self.list_upstream(fresh)
-        return fresh
+        new = Upstream(name, upstream.domain)
+        self.upstreams[self.upstreams.index(upstream)] = new
+        self.replaced_upstreams.append(upstream)
+        self.list_upstream(new)
+        return new
 
     def start(self, vm: Vm) -> None:
         """Starts a VM's process."""
@@ -179,12 +209,12 @@
                 domain=vm.domain,
                 ip=vm.ip,
                 grace_s=_GRACE_S,
-                store=vm.store.text,
+                store=vm.store.host_port,
             )
         )
         environment = os.environ | {
             "BULRUSHDEAL_CONFIG": str(settings),
-            "SOAK_CLOCK": str(self.clock(vm)),
+            "SOAK_CLOCK": str(self.clock_file(vm)),
             "PYTHONPATH": str(_SHIM),
         }
         with (self._folder / f"{vm.name}.log").open("ab") as log:
@@ -194,11 +224,11 @@
                 stdout=log,
                 stderr=log,
             )
-        vm.is_wanted = True
+        vm.should_run = True
         vm.started_s = time.monotonic()
 
-    def clock(self, vm: Vm) -> pathlib.Path:
-        """Returns the file with the seconds that a VM's clock is off."""
+    def clock_file(self, vm: Vm) -> pathlib.Path:
+        """Returns the file with the offset of a VM's wall clock, in seconds."""
         return self._folder / f"{vm.name}.clock"
 
     def start_all(self) -> None:
@@ -209,25 +239,28 @@
             self.wait_ready(vm)
 
     def wait_ready(self, vm: Vm) -> None:
-        """Waits until a VM says that it is ready."""
-        end_s = time.monotonic() + _START_S
+        """Waits until a VM is ready; records a problem if it takes too long."""
+        end_s = time.monotonic() + _READY_TIMEOUT_S
         while not is_ready(vm):
             if time.monotonic() > end_s:
-                self.problems.append(f"{vm.name} does not become ready")
+                self.problems.append(f"{vm.name} did not become ready")
                 return
             time.sleep(0.1)
 
     def kill(self, vm: Vm) -> None:
-        """Ends a VM's process at once."""
-        vm.is_wanted = False
+        """Kills a VM's process."""
+        vm.should_run = False
         if vm.process is not None:
             vm.process.send_signal(signal.SIGCONT)
             vm.process.kill()
             vm.process.wait()
 
     def terminate(self, vm: Vm) -> None:
-        """Asks a VM to stop and waits for as long as it may take."""
-        vm.is_wanted = False
+        """Stops a VM's process by SIGTERM; kills it after the grace period.
+
+        Records a problem if the process takes longer or exits with an error.
+        """
+        vm.should_run = False
         process = vm.process
         if process is None:
             return
@@ -236,36 +269,38 @@
         try:
             status = process.wait(_GRACE_S + 1.0)
         except subprocess.TimeoutExpired:
-            self.problems.append(f"{vm.name} outlives its grace")
+            self.problems.append(
+                f"{vm.name} did not stop within its grace period"
+            )
             self.kill(vm)
             return
         if status != 0:
-            self.problems.append(f"{vm.name} stops with status {status}")
+            self.problems.append(f"{vm.name} stopped with status {status}")
 
-    def note_end(self, vm: Vm) -> None:
-        """Notes a process that ended by itself, and starts it again."""
-        if not vm.is_wanted or vm.process is None:
+    def restart_if_exited(self, vm: Vm) -> None:
+        """Restarts a process that exited by itself, and records a problem."""
+        if not vm.should_run or vm.process is None:
             return
         status = vm.process.poll()
         if status is not None:
-            self.problems.append(f"{vm.name} ended by itself: {status}")
+            self.problems.append(f"{vm.name} exited unexpectedly: {status}")
             self.start(vm)
 
     def close(self) -> None:
-        """Ends all that was started."""
+        """Stops all processes, links and stand-ins."""
         for vm in self.vms:
             self.kill(vm)
         for vm in self.vms:
-            for link in (vm.front, *vm.all_links()):
+            for link in (vm.front, *vm.outgoing_links()):
                 link.close()
-            vm.face.close()
-        for upstream in (*self.upstreams, *self.past_upstreams):
+            vm.store_server.close()
+        for upstream in (*self.upstreams, *self.replaced_upstreams):
             upstream.engine.close()
         self.store.close()
 
 
 def is_ready(vm: Vm) -> bool:
-    """Asks a VM whether it is ready, past its link."""
+    """Returns whether a VM is ready, asked directly and not over its link."""
     connection = http.client.HTTPConnection(vm.ip, 8406, timeout=1.0)
     try:
         connection.request("GET", "/ready")
@@ -276,5 +311,5 @@
         connection.close()
 
 
-def _pair(host: str, port: int) -> tuple[str, int]:
+def _address(host: str, port: int) -> tuple[str, int]:
     return host, port
--- a/tests/soak/kept.py
+++ b/tests/soak/kept.py
@@ -1,10 +1,10 @@
-"""Seeds that broke a promise once, each with its cause."""
+"""Seeds that once violated a guarantee, each with its cause."""
 
 from typing import NamedTuple
 
 
 class Kept(NamedTuple):
-    """A seed, and why it failed then."""
+    """A seed and the cause of its failure."""
 
     seed: int
     cause: str
@@ -12,9 +12,9 @@
 
 SEEDS = (
     Kept(2, "SIGHUP ended a process that was starting"),
-    Kept(2, "two VMs killed at once: new owners gave out whole rates"),
-    Kept(31, "the stand-in engine ran a request that was cut off"),
-    Kept(147, "VMs were missing in lists and owned customers beside others"),
-    Kept(148, "the same, and an entry went with a lease that was not its own"),
-    Kept(831990, "likely three owners in one window, each with its opening"),
+    Kept(2, "two VMs killed at once: new owners granted full rates"),
+    Kept(31, "the stand-in engine executed an incomplete request"),
+    Kept(147, "VMs missing from VM lists owned customers that others owned"),
+    Kept(148, "as 147; also the end of another lease deleted an entry"),
+    Kept(831990, "likely three owners in one window, each with opening tokens"),
 )
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy for one link, and what can go wrong on it."""
+"""A loopback TCP proxy for one link that injects network faults."""
 
 from collections.abc import Callable
 import socket
@@ -11,34 +11,39 @@
 
 _CHUNK_BYTES = 65536
 _POLL_S = 0.05
-# Closes with a reset: the other end must not take what came for an end.
-_RESET = struct.pack("ii", 1, 0)
+# Linger of 0 s: `close` sends a TCP reset, so that the peer does not take the
+# truncated data for a complete stream.
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class _Pair:
-    """A connection through the link, as its two sockets."""
+class _Connection:
+    """A proxied connection: the sockets to its client and to the target."""
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near
-        self.far = far
-        self.is_stranded = False
+    def __init__(self, client: socket.socket, server: socket.socket) -> None:
+        self.client = client
+        self.server = server
+        self.is_stalled = False
 
     def reset(self) -> None:
-        for end in (self.near, self.far):
+        for end in (self.client, self.server):
             try:
-                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                end.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
+                )
                 end.close()
             except OSError:
                 continue
 
 
 class Link:
-    """Carries bytes from an address of its own to another.
+    """Forwards connections from its own loopback address to a target.
 
     Attributes:
-        mode: `silent` holds back both ways, `deaf` what goes to the target,
-            `mute` what comes from it; `refuse` resets new connections.
-        delay_s: How long each piece is held.
+        mode: `pass` forwards both directions. `silent` holds back both, `deaf`
+            the bytes to the target, `mute` the bytes from it. `refuse` resets
+            new connections.
+        delay_s: How long each chunk is delayed.
+        address: The host and port on which the link accepts connections.
     """
 
     def __init__(self, target: Callable[[], tuple[str, int]]) -> None:
@@ -46,92 +51,94 @@
         self.mode: Mode = "pass"
         self.delay_s = 0.0
         self._lock = threading.Lock()
-        self._pairs: set[_Pair] = set()
+        self._connections: set[_Connection] = set()
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.address: tuple[str, int] = self._listener.getsockname()
         self._is_closed = False
         threading.Thread(target=self._accept, daemon=True).start()
 
     @property
-    def text(self) -> str:
+    def host_port(self) -> str:
         """The address as `HOST:PORT`."""
         return f"{self.address[0]}:{self.address[1]}"
 
     def reset(self) -> None:
         """Resets all open connections."""
-        for pair in self._take_all():
-            pair.reset()
+        for connection in self._remove_all():
+            connection.reset()
 
-    def strand(self) -> None:
-        """Makes open connections silent for good; new ones work."""
+    def stall_open(self) -> None:
+        """Stops forwarding on open connections for good; new ones work."""
         with self._lock:
-            for pair in self._pairs:
-                pair.is_stranded = True
+            for connection in self._connections:
+                connection.is_stalled = True
 
     def close(self) -> None:
-        """Ends the link."""
+        """Stops accepting connections and resets the open ones."""
         self._is_closed = True
         self._listener.close()
         self.reset()
 
-    def _take_all(self) -> set[_Pair]:
+    def _remove_all(self) -> set[_Connection]:
         with self._lock:
-            pairs, self._pairs = self._pairs, set()
-        return pairs
+            connections, self._connections = self._connections, set()
+        return connections
 
     def _accept(self) -> None:
         while not self._is_closed:
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return
             threading.Thread(
-                target=self._carry, args=(near,), daemon=True
+                target=self._connect, args=(client,), daemon=True
             ).start()
 
-    def _carry(self, near: socket.socket) -> None:
+    def _connect(self, client: socket.socket) -> None:
         while self.mode == "silent" and not self._is_closed:
             time.sleep(_POLL_S)
         try:
             if self.mode == "refuse" or self._is_closed:
                 raise ConnectionRefusedError
-            far = socket.create_connection(self._target(), timeout=2.0)
+            server = socket.create_connection(self._target(), timeout=2.0)
         except OSError:
-            _Pair(near, near).reset()
+            _Connection(client, client).reset()
             return
-        far.settimeout(None)
-        for end in (near, far):
+        server.settimeout(None)
+        for end in (client, server):
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        pair = _Pair(near, far)
+        connection = _Connection(client, server)
         with self._lock:
-            self._pairs.add(pair)
-        for source, sink, held in (
-            (near, far, ("silent", "deaf")),
-            (far, near, ("silent", "mute")),
+            self._connections.add(connection)
+        for source, sink, blocking_modes in (
+            (client, server, ("silent", "deaf")),
+            (server, client, ("silent", "mute")),
         ):
             threading.Thread(
-                target=self._pump, args=(pair, source, sink, held), daemon=True
+                target=self._forward,
+                args=(connection, source, sink, blocking_modes),
+                daemon=True,
             ).start()
 
-    def _pump(
+    def _forward(
         self,
-        pair: _Pair,
+        connection: _Connection,
         source: socket.socket,
         sink: socket.socket,
-        held: tuple[str, str],
+        blocking_modes: tuple[str, str],
     ) -> None:
         try:
             while data := source.recv(_CHUNK_BYTES):
                 if self.delay_s:
                     time.sleep(self.delay_s)
-                while pair.is_stranded or self.mode in held:
-                    if self._is_closed or pair not in self._pairs:
+                while connection.is_stalled or self.mode in blocking_modes:
+                    if self._is_closed or connection not in self._connections:
                         return
                     time.sleep(_POLL_S)
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # Either end is gone: the other one has to notice it at once.
-            pair.reset()
+            # One side has failed: the reset lets the other notice it at once.
+            connection.reset()
         with self._lock:
-            self._pairs.discard(pair)
+            self._connections.discard(connection)
--- a/tests/soak/playing.py
+++ b/tests/soak/playing.py
@@ -1,4 +1,4 @@
-"""Plays one seed from the start of the fleet to the last check."""
+"""Runs one seed from the start of the fleet to the final checks."""
 
 import pathlib
 import random
@@ -12,24 +12,24 @@
 from soak import fleet as fleet_lib
 from soak import oracle
 
-# After the last fault: leases that lapsed, entries that come back, and items
-# that have to be taken over and run.
-_FINISH_S = 25.0
+# Time for recovery after the last fault: leases expire, entries are written
+# again, and other VMs take over job items and run them.
+_RECOVERY_TIMEOUT_S = 25.0
 _SETTLE_S = 3.0
-# Requests of which a VM has to serve one, when all is well again.
+# A VM must serve at least one of this many requests after it has recovered.
 _PROBES = 3
 _OK = 200
 
 
-class Played(NamedTuple):
-    """How a seed went.
+class SeedResult(NamedTuple):
+    """The result of running one seed.
 
     Attributes:
-        problems: What broke a promise, a line each.
-        sent: Requests that callers sent.
-        served: Those with a whole success.
-        accepted: Jobs that were accepted.
-        listed: Their results that were read.
+        problems: One line for each violated guarantee.
+        sent: The number of requests that callers sent.
+        served: The number of requests with a complete response of status 200.
+        accepted: The number of jobs that were accepted.
+        listed: The number of results of these jobs that were read.
     """
 
     problems: list[str]
@@ -39,60 +39,70 @@
     listed: int
 
 
-def play(seed: int, number: int, length_s: float, vms: int) -> Played:
-    """Plays one seed; keeps its logs if a promise was broken.
+def play(seed: int, number: int, length_s: float, vms: int) -> SeedResult:
+    """Runs one seed; keeps its logs if a guarantee was violated.
 
     Args:
-        seed: Draws the faults and what callers send.
-        number: Keeps apart the addresses of soaks at the same time.
-        length_s: For how long faults begin.
-        vms: How many processes.
+        seed: Determines the faults and the requests of the callers.
+        number: The second octet of the VMs' addresses `127.number.1.*`; it
+            differs between soaks that run at the same time.
+        length_s: The period in which faults begin, in seconds.
+        vms: The number of gateway processes.
 
     """
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     rng = random.Random(seed)
-    drawn = faults.draw(rng, length_s)
+    series = faults.draw(rng, length_s)
     fleet = fleet_lib.Fleet(folder, number, vms)
     callers = callers_lib.Callers(fleet, rng)
     player = faults.Player(fleet)
     try:
         fleet.start_all()
         callers.start()
-        player.play(drawn)
+        player.play(series)
         for vm in fleet.vms:
-            fleet.note_end(vm)
+            fleet.restart_if_exited(vm)
             fleet.wait_ready(vm)
         time.sleep(_SETTLE_S)
         callers.stop()
-        _finish(fleet, callers)
+        _check_recovery(fleet, callers)
         problems = oracle.check(fleet, callers, player.revoked_s)
     finally:
         fleet.close()
     if not problems:
         shutil.rmtree(folder)
     else:
-        text = "\n".join([*map(str, drawn), "", *problems])
+        text = "\n".join([*map(str, series), "", *problems])
         (folder / "faults.txt").write_text(text + "\n")
         problems.append(f"logs: {folder}")
-    return Played(
+    return SeedResult(
         problems,
         len(callers.attempts),
-        sum(row.status == _OK and row.is_whole for row in callers.attempts),
+        sum(row.status == _OK and row.is_complete for row in callers.attempts),
         sum(bool(job.accepted_s) for job in callers.jobs),
-        sum(len(job.rows) for job in callers.jobs),
+        sum(len(job.results) for job in callers.jobs),
     )
 
 
-def _finish(fleet: fleet_lib.Fleet, callers: callers_lib.Callers) -> None:
-    """Reads all jobs to the end, from any VM; all is well by now."""
+def _check_recovery(
+    fleet: fleet_lib.Fleet, callers: callers_lib.Callers
+) -> None:
+    """Reads the remaining results from any VM, then probes each VM.
+
+    All faults have ended by now, so each VM has to serve requests.
+    """
     rng = random.Random(1)
-    end_s = time.monotonic() + _FINISH_S
-    jobs = [row for row in callers.jobs if row.accepted_s and not row.ended_s]
+    end_s = time.monotonic() + _RECOVERY_TIMEOUT_S
+    jobs = [
+        row for row in callers.jobs if row.accepted_s and not row.cancelled_s
+    ]
     while jobs and time.monotonic() < end_s:
         jobs = [
-            job for job in jobs if not callers.read(rng.choice(fleet.vms), job)
+            job
+            for job in jobs
+            if not callers.read_results(rng.choice(fleet.vms), job)
         ]
         time.sleep(0.2)
     for vm in fleet.vms:
         if not any(callers.probe(vm) for _ in range(_PROBES)):
-            fleet.problems.append(f"{vm.name} serves nothing")
+            fleet.problems.append(f"{vm.name} serves no requests")
--- a/tests/soak/shim/sitecustomize.py
+++ b/tests/soak/shim/sitecustomize.py
@@ -1,27 +1,28 @@
-"""Puts the time of day of a process off by what a file says.
+"""Shifts a process's wall clock by the number of seconds in a file.
 
-The gateway goes by the time of day only for the age of batch jobs.
+The gateway uses the wall clock only for the age of batch jobs.
 """
 
 import os
 import pathlib
 import time
 
-_FILE = pathlib.Path(os.environ.get("SOAK_CLOCK", ""))
+_OFFSET_FILE = pathlib.Path(os.environ.get("SOAK_CLOCK", ""))
 _REREAD_S = 0.2
-_real = time.time
-_held = [0.0, 0.0]
+_system_time = time.time
+# When the file was last read, and the offset in seconds that it held.
+_last_read = [0.0, 0.0]
 
 
-def _shifted() -> float:
-    now_s = _real()
-    if now_s - _held[0] > _REREAD_S:
-        _held[0] = now_s
+def _shifted_time() -> float:
+    now_s = _system_time()
+    if now_s - _last_read[0] > _REREAD_S:
+        _last_read[0] = now_s
         try:
-            _held[1] = float(_FILE.read_text())
+            _last_read[1] = float(_OFFSET_FILE.read_text())
         except (OSError, ValueError):
-            _held[1] = 0.0
-    return now_s + _held[1]
+            _last_read[1] = 0.0
+    return now_s + _last_read[1]
 
 
-time.time = _shifted
+time.time = _shifted_time
