--- a/packages/bench/bench/countcost.py
+++ b/packages/bench/bench/countcost.py
@@ -118,10 +118,10 @@
         self.lags_s: dict[bool, list[float]] = {True: [], False: []}
         self.waiting: dict[str, list[_Change]] = {}
 
-    def handle(self, kind: type[Any], handler: Any) -> None:
+    def register_handler(self, kind: type[Any], handler: Any) -> None:
         """See `services.Peers`."""
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         """See `services.Peers`."""
 
     def call(
--- a/packages/bench/bench/limitfakes.py
+++ b/packages/bench/bench/limitfakes.py
@@ -257,13 +257,13 @@
         self._vm = vm
         net.handlers[vm] = {}
 
-    def handle(
+    def register_handler(
         self, kind: type[Any], handler: Callable[[str, Any], Any]
     ) -> None:
         """See `services.Peers`."""
         self._net.handlers[self._vm][kind] = handler
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         """See `services.Peers`."""
 
     def call(
@@ -284,7 +284,7 @@
         self._own = own
         self._incarnation = incarnation
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """See `services.Membership`."""
         return self._own
 
@@ -312,7 +312,7 @@
 
     def __init__(self, rows: dict[str, records.Customer]) -> None:
         self.rows = dict(rows)
-        self.openings: dict[str, records.Opening] = {}
+        self.openings: dict[str, records.InitialTokens] = {}
         self._callbacks: list[Callable[[], None]] = []
 
     def customer(self, customer: str) -> records.Customer | None:
@@ -323,7 +323,7 @@
         """See `services.Config`."""
         return tuple(self.rows[name] for name in sorted(self.rows))
 
-    def opening(self, customer: str) -> records.Opening | None:
+    def initial_tokens(self, customer: str) -> records.InitialTokens | None:
         """See `services.Config`."""
         return self.openings.get(customer)
 
@@ -332,16 +332,18 @@
         self._callbacks.append(callback)
 
     def apply(
-        self, row: records.Customer, opening: records.Opening | None = None
+        self,
+        row: records.Customer,
+        initial_tokens: records.InitialTokens | None = None,
     ) -> None:
         """Puts a row in force.
 
         Args:
             row: The new row of a customer.
-            opening: The customer's opening record, if the row is new.
+            initial_tokens: The customer's initial tokens, if the row is new.
         """
-        if opening is not None:
-            self.openings[row.customer] = opening
+        if initial_tokens is not None:
+            self.openings[row.customer] = initial_tokens
         self.rows[row.customer] = row
         for callback in self._callbacks:
             callback()
--- a/packages/bench/bench/peercost.py
+++ b/packages/bench/bench/peercost.py
@@ -77,7 +77,7 @@
     def dump(self) -> Any:
         """See `kernel.Service`."""
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """See `services.Membership`."""
         return self._own
 
@@ -107,9 +107,9 @@
     membership = _Membership(own, rows)
     kernel.register(services.MEMBERSHIP, cast(kernel_lib.Service, membership))
     peer_service = peers.WebsocketPeers(kernel, defaults.read(flags, {}))
-    peer_service.understand(Answer)
-    peer_service.handle(
-        Ask, services.QuickHandler(lambda vm, message: Answer(message.counts))
+    peer_service.register_answers(Answer)
+    peer_service.register_handler(
+        Ask, services.InlineHandler(lambda vm, message: Answer(message.counts))
     )
     return peer_service
 
--- a/packages/bench/bench/routecost.py
+++ b/packages/bench/bench/routecost.py
@@ -67,10 +67,10 @@
 class _UnreachablePeers(staticvm.StaticService):
     """Peers that are always unreachable."""
 
-    def handle(self, kind: type[Any], handler: Any) -> None:
+    def register_handler(self, kind: type[Any], handler: Any) -> None:
         """See `services.Peers`."""
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         """See `services.Peers`."""
 
     def call(
@@ -91,7 +91,7 @@
     def __init__(self, vms: tuple[records.Vm, ...]) -> None:
         self._vms = vms
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """See `services.Membership`."""
         return self._vms[0]
 
@@ -155,7 +155,7 @@
 def measure(size: Size) -> Cost:
     """Measures the cost at one size."""
     router = _router(size)
-    work = services.Work(
+    work = services.PlacementRequest(
         "customer-1", "online", "model-01", "", b"prefix", 100, "f", 30.0
     )
     router.acquire(work).unwrap().release("ok")
--- a/packages/bench/bench/staticvm.py
+++ b/packages/bench/bench/staticvm.py
@@ -192,10 +192,10 @@
         self.lock = threading.Lock()
         self.held: list[StaticSlot] = []
         self.outcomes: list[services.Outcome] = []
-        self.works: list[services.Work] = []
+        self.works: list[services.PlacementRequest] = []
 
     def acquire(
-        self, work: services.Work
+        self, work: services.PlacementRequest
     ) -> result.Result[StaticSlot, services.Refusal]:
         """See `services.Router`."""
         rows = [
@@ -229,7 +229,7 @@
         self._own = records.Vm(vm, "nairobi-1", "entry")
         self._unlisted = unlisted
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """See `services.Membership`."""
         return self._own
 
--- a/packages/core/bulrushdeal/memory.py
+++ b/packages/core/bulrushdeal/memory.py
@@ -3,7 +3,7 @@
 import gc
 
 
-def keep_started_objects() -> None:
+def freeze_startup_objects() -> None:
     """Excludes all existing objects from garbage collection for good.
 
     When batch work creates many new objects, a full collection also traverses
--- a/packages/core/bulrushdeal/records.py
+++ b/packages/core/bulrushdeal/records.py
@@ -53,7 +53,7 @@
     batch_weight: float = 1.0
 
 
-class OpeningPart(NamedTuple):
+class InitialTokensPart(NamedTuple):
     """One failure domain's part of a new customer's initial tokens.
 
     Attributes:
@@ -68,22 +68,22 @@
     fraction: float
 
 
-class Opening(NamedTuple):
+class InitialTokens(NamedTuple):
     """The initial tokens of a new customer, one burst over all domains.
 
     Attributes:
         customer: The customer's name.
         burst: The customer's burst when the customer was created.
-        made_s: The wall-clock time of creation, in seconds since the epoch. A
-            few minutes later every owner has seen the record, and it may be
+        created_s: The wall-clock time of creation, in seconds since the epoch.
+            A few minutes later every owner has seen the record, and it may be
             deleted.
         parts: How the limits were split between failure domains at that time.
     """
 
     customer: str
     burst: float
-    made_s: float
-    parts: tuple[OpeningPart, ...]
+    created_s: float
+    parts: tuple[InitialTokensPart, ...]
 
 
 class Key(NamedTuple):
--- a/packages/daemon/bulrushdeald/calls.py
+++ b/packages/daemon/bulrushdeald/calls.py
@@ -32,7 +32,11 @@
 }
 
 # By increasing certainty that the request ran.
-_RAN_CERTAINTY: tuple[services.Ran, ...] = ("not_run", "unknown", "ran")
+_RAN_CERTAINTY: tuple[services.ExecutionStatus, ...] = (
+    "not_run",
+    "unknown",
+    "ran",
+)
 
 
 class BrokenAnswerError(ConnectionResetError):
@@ -77,7 +81,7 @@
         self.key_hash = principal.key_hash
         self.upstream = ""
         self.tries = 0
-        self.ran: services.Ran = "not_run"
+        self.ran: services.ExecutionStatus = "not_run"
         self._path = path
         self._opened_s = time.monotonic()
         self._lock = threading.Lock()
@@ -101,7 +105,7 @@
         if cancel is not None:
             cancel()
 
-    def note_ran(self, ran: services.Ran) -> None:
+    def note_ran(self, ran: services.ExecutionStatus) -> None:
         """Records whether an attempt ran; a more certain value is kept."""
         self.ran = max(self.ran, ran, key=_RAN_CERTAINTY.index)
 
--- a/packages/daemon/bulrushdeald/completions.py
+++ b/packages/daemon/bulrushdeald/completions.py
@@ -131,9 +131,9 @@
     customer: str,
     work_class: records.WorkClass,
     deadline_s: float,
-) -> services.Work:
+) -> services.PlacementRequest:
     """Returns the description of a call by which the router places it."""
-    return services.Work(
+    return services.PlacementRequest(
         customer,
         work_class,
         call.model,
--- a/packages/daemon/bulrushdeald/config.py
+++ b/packages/daemon/bulrushdeald/config.py
@@ -189,7 +189,7 @@
         age_s = self.gossip.age_s()
         return age_s < 0 or age_s > self._max_age_s
 
-    def opening(self, customer: str) -> records.Opening | None:
+    def initial_tokens(self, customer: str) -> records.InitialTokens | None:
         """See `services.Config`."""
         return self._page_set.openings.get(customer)
 
@@ -221,7 +221,7 @@
         The VMs chosen in each failure domain do, and so does a VM that has
         had no contact with a peer for some seconds.
         """
-        own = self._membership.own()
+        own = self._membership.own_vm()
         chosen = watchers.choose(
             self._membership.entry_vms(), own.failure_domain
         )
--- a/packages/daemon/bulrushdeald/configgossip.py
+++ b/packages/daemon/bulrushdeald/configgossip.py
@@ -71,14 +71,14 @@
 
     def attach(self) -> None:
         """Registers the handlers of peer messages."""
-        self._peers.handle(configsync.PushChanges, self._on_push)
-        self._peers.handle(
+        self._peers.register_handler(configsync.PushChanges, self._on_push)
+        self._peers.register_handler(
             configsync.CompareRevisions,
-            services.QuickHandler(self._on_compare),
+            services.InlineHandler(self._on_compare),
         )
-        self._peers.handle(configsync.FetchPages, self._on_fetch)
-        self._peers.handle(configsync.ReadStatus, self._on_status)
-        self._peers.understand(
+        self._peers.register_handler(configsync.FetchPages, self._on_fetch)
+        self._peers.register_handler(configsync.ReadStatus, self._on_status)
+        self._peers.register_answers(
             configsync.PushAnswer,
             configsync.PeerRevisions,
             configsync.FetchedPages,
@@ -133,7 +133,7 @@
             name = f"{self._membership.incarnation()}/{row.vm}/{period}"
             return hashlib.sha256(name.encode()).digest()
 
-        domain = self._membership.own().failure_domain
+        domain = self._membership.own_vm().failure_domain
         near: list[str] = []
         far: dict[str, str] = {}
         for row in sorted(self._others(), key=rank):
@@ -149,7 +149,7 @@
         )
 
     def _others(self) -> list[records.Vm]:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         return [row for row in self._membership.entry_vms() if row.vm != own.vm]
 
     def push(self, changes: tuple[pages.Change, ...], source: str = "") -> None:
--- a/packages/daemon/bulrushdeald/configroutes.py
+++ b/packages/daemon/bulrushdeald/configroutes.py
@@ -73,15 +73,19 @@
         revision = replies.revision(expected, "expected_revision")
         edited = self._editor.edit(
             pages.customer_key(row.customer),
-            rewrites.put_customer(row, revision, self._opening_if_new(row)),
+            rewrites.put_customer(
+                row, revision, self._initial_tokens_if_new(row)
+            ),
         )
         return _edit_response(edited, row._asdict())
 
-    def _opening_if_new(self, row: records.Customer) -> records.Opening | None:
+    def _initial_tokens_if_new(
+        self, row: records.Customer
+    ) -> records.InitialTokens | None:
         is_known = self._config.customer(row.customer) is not None
         if is_known or self._limits is None:
             return None
-        return self._limits.opening(row)
+        return self._limits.initial_tokens(row)
 
     def patch_customer(self, request: httpd.Request) -> httpd.Response:
         """Changes one cell unless it has changed since the operator saw it."""
@@ -254,8 +258,10 @@
             by_page.setdefault(pages.customer_key(row.customer), []).append(row)
         problems: list[dict[str, Any]] = []
         for key, page_rows in sorted(by_page.items()):
-            found = [self._opening_if_new(row) for row in page_rows]
-            openings = tuple(opening for opening in found if opening)
+            found = [self._initial_tokens_if_new(row) for row in page_rows]
+            openings = tuple(
+                initial_tokens for initial_tokens in found if initial_tokens
+            )
             edited = self._editor.edit(
                 key, rewrites.put_rows(tuple(page_rows), expected, openings)
             )
--- a/packages/daemon/bulrushdeald/coordinator.py
+++ b/packages/daemon/bulrushdeald/coordinator.py
@@ -81,10 +81,14 @@
             self._keyvalue, self._replicas, self._clock, self._retention
         )
         self._table = jobtable.JobTable(self._batch_weight)
-        self._peers.understand(*batchmessages.ANSWERS)
-        self._peers.handle(batchmessages.WorkReport, self._on_report)
-        self._peers.handle(batchmessages.JobNotice, self._on_job_notice)
-        self._peers.handle(batchmessages.CoordinatorPing, self._on_ping)
+        self._peers.register_answers(*batchmessages.ANSWERS)
+        self._peers.register_handler(batchmessages.WorkReport, self._on_report)
+        self._peers.register_handler(
+            batchmessages.JobNotice, self._on_job_notice
+        )
+        self._peers.register_handler(
+            batchmessages.CoordinatorPing, self._on_ping
+        )
 
     def start(self) -> None:
         """Starts the coordinator thread."""
@@ -138,7 +142,7 @@
             self._finish_if_ended(view)
 
     def _ping_candidates(self) -> None:
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         ping = batchmessages.CoordinatorPing(self._membership.incarnation())
         for vm in self.coordinators.candidates():
             if vm == own:
--- a/packages/daemon/bulrushdeald/coordinators.py
+++ b/packages/daemon/bulrushdeald/coordinators.py
@@ -64,7 +64,7 @@
 
     def own_buckets(self) -> list[int]:
         """Returns the buckets that this VM coordinates."""
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         unsuspected = self._unsuspected()
         return [
             bucket
@@ -73,7 +73,7 @@
         ]
 
     def _unsuspected(self) -> list[str]:
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         now_s = self._clock.monotonic_s()
         with self._lock:
             return [
--- a/packages/daemon/bulrushdeald/crashnotices.py
+++ b/packages/daemon/bulrushdeald/crashnotices.py
@@ -39,9 +39,11 @@
 
     def start(self) -> None:
         """Registers the message handlers and starts the query thread."""
-        self._peers.understand(quarantine.CrashNotice)
-        self._peers.handle(quarantine.CrashNotice, self._handle_notice)
-        self._peers.handle(quarantine.CrashQuery, self._handle_query)
+        self._peers.register_answers(quarantine.CrashNotice)
+        self._peers.register_handler(
+            quarantine.CrashNotice, self._handle_notice
+        )
+        self._peers.register_handler(quarantine.CrashQuery, self._handle_query)
         threading.Thread(
             target=self._query_peers, name="crash-query", daemon=True
         ).start()
@@ -57,7 +59,7 @@
         """
         if not fingerprint:
             return
-        vm = self._membership.own().vm
+        vm = self._membership.own_vm().vm
         crash_id = f"{vm}/{self._membership.incarnation()}"
         crash = quarantine.Crash(
             fingerprint, f"{crash_id}/{next(self._sequence)}"
@@ -87,7 +89,7 @@
             return quarantine.CrashNotice(self._quarantine.crashes())
 
     def _domain_peers(self) -> list[str]:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         return [
             vm.vm
             for vm in self._membership.entry_vms()
@@ -95,7 +97,7 @@
         ]
 
     def _choose_relays(self) -> list[str]:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         by_domain: dict[str, list[records.Vm]] = {}
         for vm in self._membership.entry_vms():
             if vm.failure_domain != own.failure_domain:
--- a/packages/daemon/bulrushdeald/dispatch.py
+++ b/packages/daemon/bulrushdeald/dispatch.py
@@ -124,7 +124,7 @@
 
     def run(
         self,
-        work: services.Work,
+        work: services.PlacementRequest,
         sending: Sending,
         call: calls.Call,
         guard: idempotency.Guard,
@@ -173,7 +173,7 @@
 
     def _try(
         self,
-        work: services.Work,
+        work: services.PlacementRequest,
         sending: Sending,
         call: calls.Call,
         guard: idempotency.Guard,
@@ -199,8 +199,8 @@
             sending.headers,
             sending.body,
             self._max_silence_s,
-            is_fresh=not sending.is_idempotent,
-            on_open=call.on_end,
+            use_new_connection=not sending.is_idempotent,
+            on_connected=call.on_end,
         )
         if isinstance(sent, result.Ok):
             return result.Ok(Started(slot, sent.ok_value))
--- a/packages/daemon/bulrushdeald/enginecalls.py
+++ b/packages/daemon/bulrushdeald/enginecalls.py
@@ -129,8 +129,8 @@
                 {"Content-Type": "application/json"},
                 body,
                 timeout_s,
-                is_fresh=True,
-                on_open=cancels.append,
+                use_new_connection=True,
+                on_connected=cancels.append,
             )
             if isinstance(sent, result.Err):
                 return result.Err(_send_error(sent.err_value))
--- a/packages/daemon/bulrushdeald/files.py
+++ b/packages/daemon/bulrushdeald/files.py
@@ -268,6 +268,6 @@
 
 
 def _unavailable(
-    message: str, ran: services.Ran = "not_run"
+    message: str, ran: services.ExecutionStatus = "not_run"
 ) -> services.Refusal:
     return services.Refusal(503, "unavailable", message, ran, _RETRY_AFTER_S)
--- a/packages/daemon/bulrushdeald/idempotency.py
+++ b/packages/daemon/bulrushdeald/idempotency.py
@@ -69,7 +69,7 @@
         body = b"".join(self._chunks) if is_small else None
         store.record_answer(claim, intents.make_reply(status, headers, body))
 
-    def failed(self, ran: services.Ran) -> None:
+    def failed(self, ran: services.ExecutionStatus) -> None:
         """Records the outcome of a request without a whole answer."""
         store, claim = self._store, self._take_claim()
         if store is None or claim is None:
--- a/packages/daemon/bulrushdeald/inflightreports.py
+++ b/packages/daemon/bulrushdeald/inflightreports.py
@@ -107,12 +107,14 @@
 
     def start(self) -> None:
         """Registers the message handlers and starts reporting to owners."""
-        self._peers.understand(inflight.CountsTotals)
-        self._peers.understand(countlists.ListedTotals)
-        quick = services.QuickHandler
-        self._peers.handle(inflight.CountsReport, quick(self._on_report))
-        self._peers.handle(
-            countlists.ListedReport, quick(self._on_listed_report)
+        self._peers.register_answers(inflight.CountsTotals)
+        self._peers.register_answers(countlists.ListedTotals)
+        inline = services.InlineHandler
+        self._peers.register_handler(
+            inflight.CountsReport, inline(self._on_report)
+        )
+        self._peers.register_handler(
+            countlists.ListedReport, inline(self._on_listed_report)
         )
         threading.Thread(
             target=self._watch_owners, name="count-owners", daemon=True
--- a/packages/daemon/bulrushdeald/intents.py
+++ b/packages/daemon/bulrushdeald/intents.py
@@ -162,8 +162,8 @@
         self._peers: services.Peers | None = None
         if kernel.has(services.PEERS):
             self._peers = kernel.find(services.PEERS, services.Peers)
-            self._peers.handle(Question, self._on_question)
-            self._peers.understand(Answer)
+            self._peers.register_handler(Question, self._on_question)
+            self._peers.register_answers(Answer)
         self._thread.start()
 
     def stop(self, grace_s: float) -> None:
--- a/packages/daemon/bulrushdeald/items.py
+++ b/packages/daemon/bulrushdeald/items.py
@@ -85,8 +85,10 @@
     ) -> chunkrun.Answer | Retry:
         call = run.items[number].call
         work = completions.work(call, run.job.customer, "batch", _SLOT_WAIT_S)
-        resumes_at = run.yielded_at.pop(number, "")
-        slot = self._router.acquire(work._replace(resumes_at=resumes_at))
+        resume_upstream = run.yielded_at.pop(number, "")
+        slot = self._router.acquire(
+            work._replace(resume_upstream=resume_upstream)
+        )
         if isinstance(slot, result.Err):
             return self._handle_refusal(run, number, slot.err_value)
         return self._send(run, number, slot.ok_value)
@@ -128,7 +130,7 @@
     ) -> result.Result[_Reply, services.UpstreamError]:
         call = run.items[number].call
 
-        def on_open(cancel: Callable[[], None]) -> None:
+        def on_connected(cancel: Callable[[], None]) -> None:
             # The stream is closed when online work needs the slot or when the
             # job is cancelled. The engine then stops running the item.
             slot.on_yield(cancel)
@@ -141,7 +143,7 @@
             _headers(run, number),
             call.body,
             self._timeout_s,
-            on_open=on_open,
+            on_connected=on_connected,
         )
         if isinstance(answer, result.Err):
             return answer
--- a/packages/daemon/bulrushdeald/jobqueue.py
+++ b/packages/daemon/bulrushdeald/jobqueue.py
@@ -122,7 +122,7 @@
     )
 
 
-def unavailable(ran: services.Ran = "not_run") -> services.Refusal:
+def unavailable(ran: services.ExecutionStatus = "not_run") -> services.Refusal:
     """Returns the refusal for an outage of the platform's service."""
     return services.Refusal(
         503,
--- a/packages/daemon/bulrushdeald/jobs.py
+++ b/packages/daemon/bulrushdeald/jobs.py
@@ -51,7 +51,7 @@
         self._limits = find(services.LIMITS, services.Limits)
         membership = find(services.MEMBERSHIP, services.Membership)
         bucket_coordinators = coordinators.Coordinators(membership, self._clock)
-        peers.understand(*batchmessages.ANSWERS)
+        peers.register_answers(*batchmessages.ANSWERS)
         self._queue = jobqueue.JobQueue(
             self._keyvalue, peers, bucket_coordinators
         )
--- a/packages/daemon/bulrushdeald/limits.py
+++ b/packages/daemon/bulrushdeald/limits.py
@@ -126,7 +126,7 @@
             peers,
             clock,
             self._rows,
-            self._config.opening,
+            self._config.initial_tokens,
         )
         self._admission = admission.Admission(
             self._config,
@@ -139,9 +139,9 @@
         self._rebalancer = rebalance.Rebalancer(
             self._book, clock, self._ownership.nonce
         )
-        peers.understand(credit.CreditGrants, credit.CreditDropped)
-        peers.handle(credit.CreditAsk, self._on_ask)
-        peers.handle(credit.CreditDrop, self._on_drop)
+        peers.register_answers(credit.CreditGrants, credit.CreditDropped)
+        peers.register_handler(credit.CreditAsk, self._on_ask)
+        peers.register_handler(credit.CreditDrop, self._on_drop)
         self._config.on_change(self._on_rows_changed)
 
     def start(self) -> None:
@@ -177,23 +177,25 @@
         )
         return Dump(owned, self._holder.dump(), pages)
 
-    def opening(self, row: records.Customer) -> records.Opening | None:
+    def initial_tokens(
+        self, row: records.Customer
+    ) -> records.InitialTokens | None:
         """See `services.Limits`."""
         parts = self._ownership.parts(shares.page_of(row.customer))
         if not parts:
             return None
         # The next owner of a part without one has the next epoch, and only
         # that epoch may fill the part's bucket.
-        opening_parts = tuple(
-            records.OpeningPart(
+        initial_parts = tuple(
+            records.InitialTokensPart(
                 part.failure_domain,
                 part.epoch if part.vm else part.epoch + 1,
                 part.fraction,
             )
             for part in parts
         )
-        return records.Opening(
-            row.customer, row.burst, self._clock.wall_s(), opening_parts
+        return records.InitialTokens(
+            row.customer, row.burst, self._clock.wall_s(), initial_parts
         )
 
     def take(
--- a/packages/daemon/bulrushdeald/main.py
+++ b/packages/daemon/bulrushdeald/main.py
@@ -90,7 +90,7 @@
     except (OSError, errors.UserError) as error:
         _log.error("Cannot start: %s", error)
         return 1
-    memory.keep_started_objects()
+    memory.freeze_startup_objects()
     stopping.wait()
     _log.info("Stopping gracefully within %g s.", settings.drain_s)
     kernel.stop(settings.drain_s)
--- a/packages/daemon/bulrushdeald/membership.py
+++ b/packages/daemon/bulrushdeald/membership.py
@@ -74,7 +74,7 @@
             **self._client.dump(),
         }
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """See `services.Membership`."""
         return self._own
 
--- a/packages/daemon/bulrushdeald/orderer.py
+++ b/packages/daemon/bulrushdeald/orderer.py
@@ -178,7 +178,7 @@
         if denial is not None:
             return denial.retry_s
         began_s = self._clock.monotonic_s()
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         sent = self._tasks.mark_sent(task, own, self._membership.incarnation())
         if sent is None:
             # Another VM's write came first, or the outcome of the write is
--- a/packages/daemon/bulrushdeald/ordervms.py
+++ b/packages/daemon/bulrushdeald/ordervms.py
@@ -21,14 +21,14 @@
 
 def is_order_vm(membership: services.Membership) -> bool:
     """Returns whether this VM is one of those that order engines."""
-    return membership.own().vm in order_vms(membership)
+    return membership.own_vm().vm in order_vms(membership)
 
 
 def is_responsible(
     membership: services.Membership, task: ordertasks.Task
 ) -> bool:
     """Returns whether this VM should act on an engine's first open order."""
-    own = membership.own().vm
+    own = membership.own_vm().vm
     key = modelrecords.key(task.record.upstream)
     is_picked = rendezvous.pick(key, order_vms(membership)) == own
     if task.order.state != "sent":
--- a/packages/daemon/bulrushdeald/owner.py
+++ b/packages/daemon/bulrushdeald/owner.py
@@ -43,10 +43,10 @@
     fraction: float
 
 
-OpeningOf = Callable[[str], records.Opening | None]
+InitialTokensOf = Callable[[str], records.InitialTokens | None]
 
 
-def _no_opening(customer: str) -> None:
+def _no_initial_tokens(customer: str) -> None:
     del customer
 
 
@@ -73,14 +73,14 @@
         page: int,
         part: shares.Part,
         clock: clock_lib.Clock,
-        opening_of: OpeningOf = _no_opening,
+        initial_tokens_of: InitialTokensOf = _no_initial_tokens,
     ) -> None:
         self.page = page
         self.part = part
         self.is_closed = False
         self.fraction_cap = part.fraction
         self._clock = clock
-        self._opening_of = opening_of
+        self._initial_tokens_of = initial_tokens_of
         self._lock = threading.Lock()
         self._rows: Mapping[str, records.Customer] = {}
         self._ledgers: dict[str, bucket.Ledger] = {}
@@ -196,15 +196,15 @@
             ledger = self._ledgers.get(name)
             if ledger is None:
                 ledger = self._ledgers[name] = bucket.Ledger(terms, now_s)
-                ledger.fill(self._opening_tokens(name))
+                ledger.fill(self._starting_tokens(name))
             elif ledger.terms != terms:
                 ledger.change(terms, now_s)
 
-    def _opening_tokens(self, customer: str) -> float:
+    def _starting_tokens(self, customer: str) -> float:
         """Returns the tokens that a new customer's bucket starts with here.
 
         An owner that takes an older row for a new one would fill its bucket
-        although other owners have granted those tokens already. The opening
+        although other owners have granted those tokens already. The record
         therefore names, for each part, the one epoch that may fill the
         bucket, as of just before the row was created. Earlier owners were
         gone by then, later owners have another epoch, and the named owner
@@ -212,14 +212,14 @@
         one record, so all parts together start with at most one burst, even
         if fractions move in the meantime.
         """
-        opening = self._opening_of(customer)
+        initial_tokens = self._initial_tokens_of(customer)
         row = self._rows.get(customer)
-        if opening is None or row is None:
+        if initial_tokens is None or row is None:
             return 0.0
         own = (self.part.failure_domain, self.part.epoch)
-        for part in opening.parts:
+        for part in initial_tokens.parts:
             if (part.failure_domain, part.epoch) == own:
-                return part.fraction * min(opening.burst, row.burst)
+                return part.fraction * min(initial_tokens.burst, row.burst)
         return 0.0
 
     def _terms(self, row: records.Customer | None) -> bucket.Terms:
--- a/packages/daemon/bulrushdeald/ownership.py
+++ b/packages/daemon/bulrushdeald/ownership.py
@@ -48,15 +48,15 @@
         peers: services.Peers,
         clock: clock_lib.Clock,
         rows: pagerows.PageRows,
-        opening_of: owner.OpeningOf,
+        initial_tokens_of: owner.InitialTokensOf,
     ) -> None:
         self._book = book
         self._membership = membership
         self._peers = peers
         self._clock = clock
         self._rows = rows
-        self._opening_of = opening_of
-        self._own = membership.own()
+        self._initial_tokens_of = initial_tokens_of
+        self._own = membership.own_vm()
         self._incarnation = membership.incarnation()
         self._nonces = itertools.count(1)
         self._lock = threading.Lock()
@@ -117,7 +117,9 @@
                     del self._owned[key]
             return
         if owned is None or owned.part.epoch < part.epoch:
-            owned = owner.OwnedPart(number, part, self._clock, self._opening_of)
+            owned = owner.OwnedPart(
+                number, part, self._clock, self._initial_tokens_of
+            )
             self._rows.publish(owned, functools.partial(self._add_owned, owned))
         elif owned.part != part:
             owned.set_part(part)
--- a/packages/daemon/bulrushdeald/pages.py
+++ b/packages/daemon/bulrushdeald/pages.py
@@ -31,13 +31,14 @@
         keys: The customers' keys in order of hash. A withdrawn key keeps its
             row, so that it cannot become valid again.
         upstreams: Rows in order of name; empty in a page of customers.
-        openings: The openings of recently added customers, in order of name.
+        openings: The initial tokens of recently added customers, in order of
+            name.
     """
 
     customers: tuple[records.Customer, ...] = ()
     keys: tuple[records.Key, ...] = ()
     upstreams: tuple[records.Upstream, ...] = ()
-    openings: tuple[records.Opening, ...] = ()
+    openings: tuple[records.InitialTokens, ...] = ()
 
 
 class Change(NamedTuple):
@@ -52,7 +53,7 @@
         gone_customers: Names of removed customers.
         gone_keys: Hashes of removed keys.
         gone_upstreams: Names of removed upstreams.
-        gone_openings: Names of customers whose opening was removed.
+        gone_openings: Names of customers whose initial tokens were removed.
     """
 
     key: str
@@ -183,7 +184,7 @@
     customers: dict[str, records.Customer],
     keys: dict[str, records.Key],
     upstreams: dict[str, records.Upstream],
-    openings: dict[str, records.Opening] | None = None,
+    openings: dict[str, records.InitialTokens] | None = None,
 ) -> Page:
     """Returns a page with its rows sorted by name or hash."""
     openings_by_name = openings or {}
--- a/packages/daemon/bulrushdeald/pageset.py
+++ b/packages/daemon/bulrushdeald/pageset.py
@@ -31,7 +31,7 @@
         is_ready: Whether every page was received, so that this VM may serve.
         customers: Rows by name.
         keys: Keys by hash, including withdrawn ones.
-        openings: The openings of recently added customers, by name.
+        openings: The initial tokens of recently added customers, by name.
         upstreams: Rows by name.
         upstream_rows: The rows of `upstreams` in order of name.
         models: The names of all models that an upstream serves.
@@ -49,7 +49,7 @@
         self.is_ready = False
         self.customers: dict[str, records.Customer] = {}
         self.keys: dict[str, records.Key] = {}
-        self.openings: dict[str, records.Opening] = {}
+        self.openings: dict[str, records.InitialTokens] = {}
         self.upstreams: dict[str, records.Upstream] = {}
         self.upstream_rows: tuple[records.Upstream, ...] = ()
         self.models: frozenset[str] = frozenset()
@@ -79,8 +79,8 @@
 
     def _index(self, old: pages.Page, new: pages.Page) -> None:
         # New rows are added before old ones are removed, so that a concurrent
-        # reader never misses a row that stays. Openings are added before
-        # customers, since a reader that finds a customer looks up its opening.
+        # reader never misses a row that stays. Initial tokens are added before
+        # customers, since a reader that finds a customer looks up its tokens.
         self.openings.update({row.customer: row for row in new.openings})
         self.customers.update({row.customer: row for row in new.customers})
         self.keys.update({row.key_hash: row for row in new.keys})
@@ -90,9 +90,9 @@
             if customer.customer not in kept_customers:
                 self.customers.pop(customer.customer, None)
         kept_openings = {row.customer for row in new.openings}
-        for opening in old.openings:
-            if opening.customer not in kept_openings:
-                self.openings.pop(opening.customer, None)
+        for initial_tokens in old.openings:
+            if initial_tokens.customer not in kept_openings:
+                self.openings.pop(initial_tokens.customer, None)
         kept_keys = {row.key_hash for row in new.keys}
         for key in old.keys:
             if key.key_hash not in kept_keys:
--- a/packages/daemon/bulrushdeald/peers.py
+++ b/packages/daemon/bulrushdeald/peers.py
@@ -110,7 +110,7 @@
         self._membership = self._kernel.find(
             services.MEMBERSHIP, services.Membership
         )
-        own = self._membership.own()
+        own = self._membership.own_vm()
         self._hello = wire.Hello(
             own.vm, self._membership.incarnation(), own.failure_domain
         )
@@ -160,12 +160,12 @@
                 **self._traffic.dump(),
             }
 
-    def handle(self, kind: type[Any], handler: Handler) -> None:
+    def register_handler(self, kind: type[Any], handler: Handler) -> None:
         """See `services.Peers`."""
         self._message_types.add(kind)
         self._handlers[kind.__name__] = handler
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         """See `services.Peers`."""
         self._message_types.add(*kinds)
 
@@ -347,7 +347,7 @@
                 self._answer_request, connection, hello.vm, request
             )
             handler = self._handlers.get(request.kind)
-            if isinstance(handler, services.QuickHandler):
+            if isinstance(handler, services.InlineHandler):
                 job()
             elif not requests.submit(job):
                 refusal = wire.Refused("too many requests are waiting")
--- a/packages/daemon/bulrushdeald/placement.py
+++ b/packages/daemon/bulrushdeald/placement.py
@@ -56,7 +56,7 @@
         """Sets the source of the upstreams and of the VM list."""
         self._config = config
         self._membership = membership
-        self._own_vm = membership.own()
+        self._own_vm = membership.own_vm()
         config.on_change(self._note_change)
 
     def set_waits(self, waits: waits_lib.Waits) -> None:
@@ -114,7 +114,7 @@
         self._known_entry_vms = entry_vms
         return self._topology
 
-    def serving(self, work: services.Work) -> topology_lib.Serving:
+    def serving(self, work: services.PlacementRequest) -> topology_lib.Serving:
         """Returns all upstreams that serve a request's model or service."""
         return self.topology().serving(work.model, work.service)
 
@@ -135,7 +135,10 @@
         return self.inflight.estimate(name, owner, self._own_vm.vm)
 
     def choose_for_online(
-        self, work: services.Work, is_suspect: bool, weight: float = 1.0
+        self,
+        work: services.PlacementRequest,
+        is_suspect: bool,
+        weight: float = 1.0,
     ) -> records.Upstream | None:
         """Returns an upstream with room for an online request, or `None`.
 
@@ -230,7 +233,7 @@
         return max(0, allowed - self.batch.running(upstream.upstream))
 
     def choose_for_batch(
-        self, work: services.Work, is_suspect: bool
+        self, work: services.PlacementRequest, is_suspect: bool
     ) -> records.Upstream | None:
         """Returns an upstream with a free batch slot, or `None`.
 
@@ -243,14 +246,17 @@
             if is_suspect and self._suspects.get(upstream.upstream, 0):
                 continue
             free = self.free_batch_slots(upstream)
-            if free > 0 and upstream.upstream == work.resumes_at:
+            if free > 0 and upstream.upstream == work.resume_upstream:
                 return upstream
             if free > most:
                 best, most = upstream, free
         return best
 
     def count_start(
-        self, work: services.Work, upstream: records.Upstream, is_suspect: bool
+        self,
+        work: services.PlacementRequest,
+        upstream: records.Upstream,
+        is_suspect: bool,
     ) -> batchslots.RunningItem | None:
         """Counts a request as running on an upstream.
 
--- a/packages/daemon/bulrushdeald/plainservices.py
+++ b/packages/daemon/bulrushdeald/plainservices.py
@@ -169,9 +169,11 @@
             )
         return result.Ok(_PlainBody(body.ok_value, body.ok_value))
 
-    def _work(self, plain: _PlainRequest, call: calls.Call) -> services.Work:
+    def _work(
+        self, plain: _PlainRequest, call: calls.Call
+    ) -> services.PlacementRequest:
         work_class: records.WorkClass = "online"
-        return services.Work(
+        return services.PlacementRequest(
             call.customer,
             work_class,
             "",
--- a/packages/daemon/bulrushdeald/relays.py
+++ b/packages/daemon/bulrushdeald/relays.py
@@ -41,7 +41,7 @@
         # These values apply if the caller leaves before the end.
         self.code = "caller_left"
         self._outcome: services.Outcome = "cancelled"
-        self._ran: services.Ran = "ran"
+        self._ran: services.ExecutionStatus = "ran"
         self._is_complete = False
         self._is_closed = False
         self.items = self._items()
--- a/packages/daemon/bulrushdeald/repair.py
+++ b/packages/daemon/bulrushdeald/repair.py
@@ -118,7 +118,7 @@
                 size_bytes = 0
 
     def _choose_target(self, name: str) -> records.Vm | None:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         others = {
             vm.vm: vm
             for vm in self._replicas.stores()
@@ -131,7 +131,7 @@
         stored = self._store.read(name)
         if stored is None:
             return 0
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         copied = self._replicas.copy(
             name, stored.data, stored.written_wall_s, target, own
         )
--- a/packages/daemon/bulrushdeald/replicas.py
+++ b/packages/daemon/bulrushdeald/replicas.py
@@ -52,7 +52,7 @@
         self._membership = self._kernel.find(
             services.MEMBERSHIP, services.Membership
         )
-        self._peers.understand(*objects.ANSWERS)
+        self._peers.register_answers(*objects.ANSWERS)
 
     def stop(self, grace_s: float) -> None:
         """Does nothing: there is no thread or connection to end."""
@@ -174,7 +174,7 @@
             return result.Err(
                 services.StoreError("unavailable", "no bulk store is listed")
             )
-        own_domain = self._membership.own().failure_domain
+        own_domain = self._membership.own_vm().failure_domain
         local = [vm for vm in ranked if vm.failure_domain == own_domain]
         first = (local or ranked)[0]
         for vm in ranked:
@@ -250,7 +250,7 @@
                 return result.Ok(None)
 
     def _read_order(self, ref: objects.ObjectRef) -> list[str]:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         domains = {vm.vm: vm.failure_domain for vm in self.stores()}
         first_stores = [vm for vm in ref.stores if vm in domains]
         first_stores.sort(
--- a/packages/daemon/bulrushdeald/rewrites.py
+++ b/packages/daemon/bulrushdeald/rewrites.py
@@ -13,9 +13,9 @@
 _ADDRESS = re.compile(r"^[0-9a-zA-Z_.\-]+:[0-9]{1,5}$")
 _SEGMENT = re.compile(r"^[A-Za-z0-9][A-Za-z0-9_.\-]{0,99}$")
 
-# Openings are dropped after this time, long after every VM has received the
-# new row. An owner that sees the row even later starts it without tokens.
-_OPENING_RETENTION_S = 600.0
+# Initial tokens are dropped after this time, long after every VM has received
+# the new row. An owner that sees the row even later starts it without tokens.
+_INITIAL_TOKENS_RETENTION_S = 600.0
 
 _RewriteResult = result.Result[pages.Page, edits.EditError]
 
@@ -23,7 +23,7 @@
 def put_customer(
     row: records.Customer,
     expected_revision: int | None,
-    opening: records.Opening | None = None,
+    initial_tokens: records.InitialTokens | None = None,
 ) -> edits.Rewrite:
     """Returns an edit that adds or replaces a whole row.
 
@@ -31,9 +31,9 @@
         row: The checked row.
         expected_revision: The page's revision that the operator saw, 0 if
             the row must not exist yet; `None` to replace whatever is stored.
-        opening: The tokens that the customer starts with if it is new.
+        initial_tokens: The tokens that the customer starts with if it is new.
     """
-    openings = () if opening is None else (opening,)
+    openings = () if initial_tokens is None else (initial_tokens,)
 
     def rewrite(stored: edits.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
@@ -110,9 +110,9 @@
             for key in stored.page.keys
         )
         openings = tuple(
-            opening
-            for opening in stored.page.openings
-            if opening.customer != customer
+            initial_tokens
+            for initial_tokens in stored.page.openings
+            if initial_tokens.customer != customer
         )
         page = stored.page._replace(keys=keys, openings=openings)
         return result.Ok(_with_customers(page, rows))
@@ -123,7 +123,7 @@
 def put_rows(
     changed: tuple[records.Customer, ...],
     expected_revision: int | None,
-    openings: tuple[records.Opening, ...] = (),
+    openings: tuple[records.InitialTokens, ...] = (),
 ) -> edits.Rewrite:
     """Returns an edit that adds or replaces rows of a page, all or none.
 
@@ -247,9 +247,9 @@
 
 
 def _with_openings(
-    page: pages.Page, added: tuple[records.Opening, ...]
+    page: pages.Page, added: tuple[records.InitialTokens, ...]
 ) -> pages.Page:
-    """Adds the openings of new customers and drops expired openings.
+    """Adds the initial tokens of new customers and drops expired ones.
 
     A customer that is deleted and added again must not receive its burst a
     second time. A deleted customer's keys stay in the page, so a name that
@@ -257,17 +257,18 @@
     """
     if not added:
         return page
-    newest_made_s = max(opening.made_s for opening in added)
+    newest_created_s = max(initial_tokens.created_s for initial_tokens in added)
     known = {row.customer for row in page.customers}
     known |= {key.customer for key in page.keys}
     openings = {
-        opening.customer: opening
-        for opening in page.openings
-        if opening.made_s > newest_made_s - _OPENING_RETENTION_S
+        initial_tokens.customer: initial_tokens
+        for initial_tokens in page.openings
+        if initial_tokens.created_s
+        > newest_created_s - _INITIAL_TOKENS_RETENTION_S
     }
-    for opening in added:
-        if opening.customer not in known:
-            openings[opening.customer] = opening
+    for initial_tokens in added:
+        if initial_tokens.customer not in known:
+            openings[initial_tokens.customer] = initial_tokens
     rows = tuple(openings[name] for name in sorted(openings))
     return page._replace(openings=rows)
 
--- a/packages/daemon/bulrushdeald/router.py
+++ b/packages/daemon/bulrushdeald/router.py
@@ -175,7 +175,7 @@
             return max(0, free - self._pool(model).waiting_batch())
 
     def acquire(
-        self, work: services.Work
+        self, work: services.PlacementRequest
     ) -> result.Result[services.Slot, services.Refusal]:
         """See `services.Router`."""
         with self._lock:
@@ -197,7 +197,7 @@
         return self._pools.setdefault(name, slots.Pool(self._make_queue))
 
     def _unservable_refusal(
-        self, work: services.Work
+        self, work: services.PlacementRequest
     ) -> services.Refusal | None:
         """Returns a refusal if no free slot could serve the request."""
         if self._quarantine.is_refused(work.fingerprint):
@@ -245,7 +245,7 @@
             retry_after_s=max(_MIN_RETRY_AFTER_S, pool.hold_s),
         )
 
-    def _try_place(self, work: services.Work) -> slots.Slot | None:
+    def _try_place(self, work: services.PlacementRequest) -> slots.Slot | None:
         """Takes and returns a slot, or returns `None` if there is no room."""
         is_suspect = self._quarantine.is_suspect(work.fingerprint)
         if work.work_class == "batch":
@@ -263,7 +263,7 @@
         now_s = self._clock.monotonic_s()
         return slots.Slot(self, work, upstream, batch_item, now_s, is_suspect)
 
-    def _waiting_weight(self, work: services.Work) -> float:
+    def _waiting_weight(self, work: services.PlacementRequest) -> float:
         """Returns the weight of the customers that wait here.
 
         It is at least the weight of the requesting customer.
@@ -312,7 +312,7 @@
             self.took_report(frozenset((upstream,)))
 
     def _wait_for_slot(
-        self, work: services.Work, pool: slots.Pool
+        self, work: services.PlacementRequest, pool: slots.Pool
     ) -> result.Result[services.Slot, services.Refusal]:
         """Waits in the queue for a slot.
 
@@ -344,7 +344,7 @@
         return result.Err(self._overloaded_refusal(expected_s))
 
     def _expected_wait_s(
-        self, work: services.Work, pool: slots.Pool, weight: float
+        self, work: services.PlacementRequest, pool: slots.Pool, weight: float
     ) -> float:
         usable = self._placement.usable(self._placement.serving(work).all)
         total = sum(upstream.slots for upstream in usable)
--- a/packages/daemon/bulrushdeald/services.py
+++ b/packages/daemon/bulrushdeald/services.py
@@ -27,7 +27,7 @@
 CALLERS = "callers"
 OPERATORS = "operators"
 
-Ran = Literal["not_run", "ran", "unknown"]
+ExecutionStatus = Literal["not_run", "ran", "unknown"]
 
 
 class Entry(NamedTuple):
@@ -99,7 +99,7 @@
 class Membership(Protocol):
     """The known VMs, from the platform's list, which may be out of date."""
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """Returns this VM's own row, built from the settings."""
 
     def incarnation(self) -> str:
@@ -132,7 +132,7 @@
     message: str
 
 
-class QuickHandler:
+class InlineHandler:
     """A handler that does not block and runs no longer than a read takes.
 
     It runs on the thread that reads the connection. Handing the request to
@@ -150,7 +150,7 @@
 class Peers(Protocol):
     """Typed calls between entry VMs; `peers` implements the protocol."""
 
-    def handle(
+    def register_handler(
         self, kind: type[Any], handler: Callable[[str, Any], Any]
     ) -> None:
         """Registers the handler for messages of a `NamedTuple` type.
@@ -158,10 +158,10 @@
         The handler receives the calling VM's name and the message, and
         returns the answer, a `NamedTuple`. Only a few handlers run at once
         for each connection, so a handler must not wait for other peers. A
-        `QuickHandler` blocks its whole connection while it runs.
+        `InlineHandler` blocks its whole connection while it runs.
         """
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         """Registers `NamedTuple` types that may arrive as answers."""
 
     def call(
@@ -205,7 +205,7 @@
     def customers(self) -> tuple[records.Customer, ...]:
         """Returns all customers' rows, by name."""
 
-    def opening(self, customer: str) -> records.Opening | None:
+    def initial_tokens(self, customer: str) -> records.InitialTokens | None:
         """Returns the initial tokens of a recently created customer."""
 
     def authenticate(self, key: str) -> result.Result[Principal, ConfigError]:
@@ -247,7 +247,7 @@
     status: int
     code: str
     message: str
-    ran: Ran = "not_run"
+    ran: ExecutionStatus = "not_run"
     retry_after_s: float = 0.0
     field: str = ""
 
@@ -258,7 +258,9 @@
     def is_ready(self) -> bool:
         """Returns whether this VM can find the VMs that grant tokens."""
 
-    def opening(self, row: records.Customer) -> records.Opening | None:
+    def initial_tokens(
+        self, row: records.Customer
+    ) -> records.InitialTokens | None:
         """Returns the initial tokens of a row that is about to be created.
 
         Only for a name that never had a key. Returns `None` if the record
@@ -276,7 +278,7 @@
         """
 
 
-class Work(NamedTuple):
+class PlacementRequest(NamedTuple):
     """The properties of a request that the router uses to place it.
 
     Attributes:
@@ -289,8 +291,8 @@
         fingerprint: Hash of customer and body, which identifies requests
             that crash upstreams.
         deadline_s: Seconds from now after which an answer is useless.
-        resumes_at: The upstream where a batch item yielded and can resume;
-            empty if there is none.
+        resume_upstream: The upstream where a batch item yielded and can
+            resume; empty if there is none.
     """
 
     customer: str
@@ -301,7 +303,7 @@
     expected_tokens: int
     fingerprint: str
     deadline_s: float
-    resumes_at: str = ""
+    resume_upstream: str = ""
 
 
 class Slot(Protocol):
@@ -328,7 +330,7 @@
 class Router(Protocol):
     """Chooses upstreams and gives online work priority over batch."""
 
-    def acquire(self, work: Work) -> result.Result[Slot, Refusal]:
+    def acquire(self, work: PlacementRequest) -> result.Result[Slot, Refusal]:
         """Returns a slot, or the final refusal with the time to retry.
 
         Online work waits in its own queue until its deadline. Batch work
@@ -357,7 +359,7 @@
     """
 
     kind: Literal["unreachable", "crashed", "timeout", "cancelled"]
-    ran: Ran
+    ran: ExecutionStatus
     message: str
 
 
@@ -375,7 +377,7 @@
     def chunks(self) -> Iterator[result.Result[bytes, UpstreamError]]:
         """Yields the body in pieces; an error ends it."""
 
-    def allow_silence(self, timeout_s: float) -> None:
+    def set_read_timeout(self, timeout_s: float) -> None:
         """Sets the read timeout for the rest of the body, in seconds."""
 
     def cancel(self) -> None:
@@ -397,8 +399,8 @@
         body: Iterator[bytes] | bytes,
         timeout_s: float,
         *,
-        is_fresh: bool = False,
-        on_open: Callable[[Callable[[], None]], None] | None = None,
+        use_new_connection: bool = False,
+        on_connected: Callable[[Callable[[], None]], None] | None = None,
     ) -> result.Result[UpstreamAnswer, UpstreamError]:
         """Sends a request and waits for the head of the answer.
 
@@ -410,10 +412,10 @@
             body: The whole body, or its pieces; an iterator that raises
                 ends the request as cancelled.
             timeout_s: The longest silence, before the head and in the body.
-            is_fresh: Whether to open a new connection for this request. The
-                upstream may close a kept connection just as it is used, and
-                then it is unknown whether the request ran.
-            on_open: Called as soon as the connection is open, with a
+            use_new_connection: Whether to open a new connection for this
+                request. The upstream may close a kept connection just as it
+                is used, and then it is unknown whether the request ran.
+            on_connected: Called as soon as the connection is open, with a
                 function that cancels the call at once from any thread;
                 `Slot.on_yield` can be passed here.
         """
--- a/packages/daemon/bulrushdeald/sharefeed.py
+++ b/packages/daemon/bulrushdeald/sharefeed.py
@@ -45,15 +45,15 @@
         self._book = book
         self._peers = peers
         self._members = members
-        peers.understand(ShareRecords)
-        peers.handle(ShareQuery, self._answer)
+        peers.register_answers(ShareRecords)
+        peers.register_handler(ShareQuery, self._answer)
 
     def ask(self) -> None:
         """Stores the records of the first VM asked that has any.
 
         At most `_MAX_VMS_ASKED` other VMs are asked, in random order.
         """
-        own = self._members.own().vm
+        own = self._members.own_vm().vm
         others = [row.vm for row in self._members.entry_vms() if row.vm != own]
         random.shuffle(others)
         for vm in others[:_MAX_VMS_ASKED]:
--- a/packages/daemon/bulrushdeald/slots.py
+++ b/packages/daemon/bulrushdeald/slots.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         router: Router,
-        work: services.Work,
+        work: services.PlacementRequest,
         upstream: records.Upstream,
         batch_item: batchslots.RunningItem | None,
         start_s: float,
@@ -82,7 +82,9 @@
         refusal: The refusal that ends its wait.
     """
 
-    def __init__(self, work: services.Work, lock: threading.Lock) -> None:
+    def __init__(
+        self, work: services.PlacementRequest, lock: threading.Lock
+    ) -> None:
         self.work = work
         self.wakeup = threading.Condition(lock)
         self.slot: Slot | None = None
@@ -107,17 +109,17 @@
         self.resumed = make_queue()
         self.hold_s = _INITIAL_HOLD_S
 
-    def queue(self, work: services.Work) -> queues.Queue[Waiter]:
+    def queue(self, work: services.PlacementRequest) -> queues.Queue[Waiter]:
         """Returns the queue for a request."""
         if work.work_class == "online":
             return self.online
-        return self.resumed if work.resumes_at else self.batch
+        return self.resumed if work.resume_upstream else self.batch
 
-    def must_wait(self, work: services.Work) -> bool:
+    def must_wait(self, work: services.PlacementRequest) -> bool:
         """Returns whether waiting requests come before a new one."""
         if work.work_class == "online":
             return bool(self.online)
-        return bool(self.resumed or (self.batch and not work.resumes_at))
+        return bool(self.resumed or (self.batch and not work.resume_upstream))
 
     def waiting_batch(self) -> int:
         """Returns the number of waiting batch items."""
--- a/packages/daemon/bulrushdeald/store.py
+++ b/packages/daemon/bulrushdeald/store.py
@@ -88,11 +88,11 @@
         for path in self._incoming_folder.iterdir():
             path.unlink()
         peers = self._kernel.find(services.PEERS, services.Peers)
-        peers.handle(objects.StorePut, self._on_put)
-        peers.handle(objects.StoreGet, self._on_get)
-        peers.handle(objects.StoreRetag, self._on_retag)
-        peers.handle(objects.StoreDelete, self._on_delete)
-        peers.handle(objects.StoreList, self._on_list)
+        peers.register_handler(objects.StorePut, self._on_put)
+        peers.register_handler(objects.StoreGet, self._on_get)
+        peers.register_handler(objects.StoreRetag, self._on_retag)
+        peers.register_handler(objects.StoreDelete, self._on_delete)
+        peers.register_handler(objects.StoreList, self._on_list)
 
     def stop(self, grace_s: float) -> None:
         """Does nothing: every acknowledged write is already on the disk."""
--- a/packages/daemon/bulrushdeald/upstreams.py
+++ b/packages/daemon/bulrushdeald/upstreams.py
@@ -59,7 +59,7 @@
                 # The upstream has already closed the connection.
                 return
 
-    def allow_silence(self, timeout_s: float) -> None:
+    def set_read_timeout(self, timeout_s: float) -> None:
         """Sets the timeout of each further read, in seconds."""
         with self._lock:
             if not self._is_finished:
@@ -128,9 +128,9 @@
             return
         self._is_complete = True
 
-    def allow_silence(self, timeout_s: float) -> None:
+    def set_read_timeout(self, timeout_s: float) -> None:
         """See `services.UpstreamAnswer`."""
-        self._exchange.allow_silence(timeout_s)
+        self._exchange.set_read_timeout(timeout_s)
 
     def cancel(self) -> None:
         """See `services.UpstreamAnswer`."""
@@ -213,20 +213,20 @@
         body: Iterator[bytes] | bytes,
         timeout_s: float,
         *,
-        is_fresh: bool = False,
-        on_open: Callable[[Callable[[], None]], None] | None = None,
+        use_new_connection: bool = False,
+        on_connected: Callable[[Callable[[], None]], None] | None = None,
     ) -> result.Result[Answer, services.UpstreamError]:
         """See `services.Upstreams`."""
         address = upstream.address
-        connected = self._connect(address, is_fresh)
+        connected = self._connect(address, use_new_connection)
         if isinstance(connected, result.Err):
             return connected
         connection = connected.ok_value
         connection.timeout = timeout_s
         exchange = _Exchange(connection.sock)
-        if on_open is not None:
-            on_open(exchange.cancel)
-        headers_to_send = _headers_to_send(headers, is_fresh)
+        if on_connected is not None:
+            on_connected(exchange.cancel)
+        headers_to_send = _headers_to_send(headers, use_new_connection)
         try:
             is_fully_sent = _send_request(
                 connection, method, path, headers_to_send, body
@@ -244,7 +244,7 @@
             unexpected = ValueError(f"Unexpected status {response.status}.")
             return result.Err(_upstream_error(exchange, unexpected, "ran"))
         return_connection: Callable[[], None] | None = None
-        if is_fully_sent and not is_fresh:
+        if is_fully_sent and not use_new_connection:
             return_connection = functools.partial(
                 self._pool.put, address, connection
             )
@@ -253,9 +253,9 @@
         )
 
     def _connect(
-        self, address: str, is_fresh: bool
+        self, address: str, use_new_connection: bool
     ) -> result.Result[connections.Connection, services.UpstreamError]:
-        idle = None if is_fresh else self._pool.take(address)
+        idle = None if use_new_connection else self._pool.take(address)
         if idle is not None:
             return result.Ok(idle)
         host, _, port = address.rpartition(":")
@@ -273,14 +273,14 @@
 
 
 def _headers_to_send(
-    headers: Mapping[str, str], is_fresh: bool
+    headers: Mapping[str, str], use_new_connection: bool
 ) -> dict[str, str]:
     headers_to_send = headers_lib.without_connection(headers)
     names = {name.lower() for name in headers_to_send}
     for name in _DEFAULT_HEADERS:
         if name not in names:
             headers_to_send[name] = urllib3.util.SKIP_HEADER
-    if is_fresh:
+    if use_new_connection:
         headers_to_send["connection"] = "close"
     return headers_to_send
 
@@ -320,7 +320,7 @@
 
 
 def _upstream_error(
-    exchange: _Exchange, error: Exception, ran: services.Ran
+    exchange: _Exchange, error: Exception, ran: services.ExecutionStatus
 ) -> services.UpstreamError:
     message = f"{type(error).__name__}: {error}"
     if exchange.is_cancelled:
--- a/packages/daemon/bulrushdeald/usage.py
+++ b/packages/daemon/bulrushdeald/usage.py
@@ -85,10 +85,11 @@
             keyvalue, self._clock, self._membership.is_listed
         )
         self._report = report.Report(keyvalue, self._membership, self._clock)
-        self._peers.understand(ledger.Taken)
-        self._peers.handle(ledger.Batch, self._on_batch)
+        self._peers.register_answers(ledger.Taken)
+        self._peers.register_handler(ledger.Batch, self._on_batch)
         self._head = ledger.head_of(
-            self._membership.own().failure_domain, self._membership.own().vm
+            self._membership.own_vm().failure_domain,
+            self._membership.own_vm().vm,
         )
 
     def stop(self, grace_s: float) -> None:
@@ -158,7 +159,7 @@
             folding_vm = self._folding_vm(self._head, is_last)
             self._hand_over(folding_vm)
             self._folder.fold()
-            if folding_vm == self._membership.own().vm:
+            if folding_vm == self._membership.own_vm().vm:
                 # The batch has just been folded here, so this call learns that
                 # it is durable without waiting for the next flush.
                 self._hand_over(folding_vm)
@@ -196,7 +197,7 @@
         return group.bucket_s - group.bucket_s % coarse_s
 
     def _source(self) -> str:
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         run = f"{self._membership.incarnation()}.{self._run_number}"
         return f"{own}/{run}"
 
@@ -243,7 +244,7 @@
             self._metrics.increment(name, count)
 
     def _folding_vm(self, head: str, is_last: bool) -> str:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         if is_last:
             return own.vm
         names = [
@@ -289,7 +290,7 @@
         return self._folder.offer(batch)
 
     def _close_heads(self) -> None:
-        own = self._membership.own()
+        own = self._membership.own_vm()
         for head in ledger.heads_of(own.failure_domain):
             if self._folding_vm(head, is_last=False) == own.vm:
                 self._folder.close(head)
--- a/packages/daemon/bulrushdeald/vmlist.py
+++ b/packages/daemon/bulrushdeald/vmlist.py
@@ -90,8 +90,10 @@
         self._peers = self._kernel.find(
             services.PEERS, peers_lib.WebsocketPeers
         )
-        self._peers.handle(ReadVmList, services.QuickHandler(self._on_read))
-        self._peers.understand(VmListChange)
+        self._peers.register_handler(
+            ReadVmList, services.InlineHandler(self._on_read)
+        )
+        self._peers.register_answers(VmListChange)
         self._record_change()
 
     def start(self) -> None:
@@ -110,7 +112,7 @@
 
     def update(self) -> bool:
         """Updates the list; returns false if no source answers."""
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         sources = self._sources()
         if own not in sources:
             self._random.shuffle(sources)
@@ -127,7 +129,7 @@
     def _sources(self) -> list[str]:
         return watchers.choose(
             self._membership.entry_vms(),
-            self._membership.own().failure_domain,
+            self._membership.own_vm().failure_domain,
         )
 
     def _ask_seeds(self) -> bool:
--- a/packages/daemon/bulrushdeald/waitreports.py
+++ b/packages/daemon/bulrushdeald/waitreports.py
@@ -52,9 +52,9 @@
 
     def start(self) -> None:
         """Registers the message handlers and starts the reporting thread."""
-        self._peers.understand(waits_lib.WaitingTotals)
-        self._peers.handle(
-            waits_lib.WaitingReport, services.QuickHandler(self._on_report)
+        self._peers.register_answers(waits_lib.WaitingTotals)
+        self._peers.register_handler(
+            waits_lib.WaitingReport, services.InlineHandler(self._on_report)
         )
         threading.Thread(target=self._run, name="waiting", daemon=True).start()
 
--- a/packages/daemon/bulrushdeald/worker.py
+++ b/packages/daemon/bulrushdeald/worker.py
@@ -85,7 +85,7 @@
         self._peers = find(services.PEERS, services.Peers)
         self._membership = membership
         self._coordinators = coordinators.Coordinators(membership, self._clock)
-        vm, incarnation = membership.own().vm, membership.incarnation()
+        vm, incarnation = membership.own_vm().vm, membership.incarnation()
         self._claims = claims.Claims(
             keyvalue, stores, self._clock, vm, incarnation
         )
@@ -106,9 +106,11 @@
             self._clock,
             self._settings.batch_item_timeout_s,
         )
-        self._peers.understand(*batchmessages.ANSWERS)
-        self._peers.handle(batchmessages.StopJob, self._on_stop_job)
-        self._peers.handle(batchmessages.HoldQuery, self._on_hold_query)
+        self._peers.register_answers(*batchmessages.ANSWERS)
+        self._peers.register_handler(batchmessages.StopJob, self._on_stop_job)
+        self._peers.register_handler(
+            batchmessages.HoldQuery, self._on_hold_query
+        )
 
     def start(self) -> None:
         """Starts the threads; does nothing more if `batch_threads` is 0."""
@@ -190,7 +192,7 @@
         return max(_MIN_REPORT_PERIOD_S, vms / coordinator.REPORTS_PER_S)
 
     def _wanted_chunks(self) -> int:
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         with self._wake:
             if self._is_stopping or self._membership.is_leaving(own):
                 return 0
--- a/packages/gateway/gateway/assembly.py
+++ b/packages/gateway/gateway/assembly.py
@@ -107,7 +107,7 @@
     except (OSError, errors.UserError) as error:
         sys.stderr.write(f"Cannot start: {error}\n")
         return 1
-    memory.keep_started_objects()
+    memory.freeze_startup_objects()
     _events.info("started", failure_domain=settings.failure_domain)
     while not stopping.wait(_COUNTS_INTERVAL_S):
         calls = [tuple(row) for row in store.counts()]
--- a/packages/gateway/gateway/forwarding.py
+++ b/packages/gateway/gateway/forwarding.py
@@ -170,7 +170,7 @@
                 deadline_s=self._call.caller_remaining_s(),
                 max_silence_s=self._silence_s(slot),
                 last_event_id=self._last_event,
-                on_open=self._call.on_end,
+                on_connected=self._call.on_end,
             )
             if isinstance(sent, result.Ok):
                 self._call.runs += 1
@@ -394,7 +394,7 @@
         gap_s = self._stream_timeouts.gap_timeout_s(
             self._route.gap_target_s, self._route.target_latency_s
         )
-        opened.answer.allow_silence(gap_s)
+        opened.answer.set_read_timeout(gap_s)
 
     def _record_upstream_data(self) -> None:
         if self._slot is not None:
--- a/packages/gateway/gateway/jobdirectory.py
+++ b/packages/gateway/gateway/jobdirectory.py
@@ -59,9 +59,13 @@
         find = self._kernel.find
         self._members = find(services.MEMBERSHIP, members.Members)
         self._peers = find(services.PEERS, services.Peers)
-        self._peers.handle(RunsJob, services.QuickHandler(self._on_runs_job))
-        self._peers.handle(FindJob, services.QuickHandler(self._on_find_job))
-        self._peers.understand(JobNoted, JobFound)
+        self._peers.register_handler(
+            RunsJob, services.InlineHandler(self._on_runs_job)
+        )
+        self._peers.register_handler(
+            FindJob, services.InlineHandler(self._on_find_job)
+        )
+        self._peers.register_answers(JobNoted, JobFound)
         threading.Thread(
             target=self._announce_jobs, name="directory", daemon=True
         ).start()
--- a/packages/gateway/gateway/jobpeers.py
+++ b/packages/gateway/gateway/jobpeers.py
@@ -26,16 +26,16 @@
         self._job_store = find(names.JOB_STORE, jobstore.JobStore)
         self._directory = find(names.JOB_DIRECTORY, jobdirectory.JobDirectory)
         self._members = find(services.MEMBERSHIP, members.Members)
-        self._vm = self._members.own().vm
+        self._vm = self._members.own_vm().vm
         self._runner: jobmessages.JobRunner | None = None
         self._peers = find(services.PEERS, services.Peers)
-        self._peers.handle(
-            jobmessages.ReadJob, services.QuickHandler(self._on_read_job)
+        self._peers.register_handler(
+            jobmessages.ReadJob, services.InlineHandler(self._on_read_job)
         )
-        self._peers.handle(
-            jobmessages.ReadInput, services.QuickHandler(self._on_read_input)
+        self._peers.register_handler(
+            jobmessages.ReadInput, services.InlineHandler(self._on_read_input)
         )
-        self._peers.understand(jobmessages.JobRead, jobmessages.InputRead)
+        self._peers.register_answers(jobmessages.JobRead, jobmessages.InputRead)
 
     def set_runner(self, runner: jobmessages.JobRunner) -> None:
         """Sets the runner whose jobs this VM answers for."""
--- a/packages/gateway/gateway/jobs.py
+++ b/packages/gateway/gateway/jobs.py
@@ -52,8 +52,8 @@
         )
         self._members = find(services.MEMBERSHIP, members.Members)
         self._peers = find(services.PEERS, services.Peers)
-        self._peers.handle(jobmessages.EndJob, self._on_end_job)
-        self._peers.understand(jobmessages.Ended)
+        self._peers.register_handler(jobmessages.EndJob, self._on_end_job)
+        self._peers.register_answers(jobmessages.Ended)
         self._job_peers = jobpeers.JobPeers(self._kernel)
         self._runner: jobmessages.JobRunner | None = None
 
--- a/packages/gateway/gateway/members.py
+++ b/packages/gateway/gateway/members.py
@@ -121,7 +121,7 @@
             "missed_pings": dict(self._missed_pings),
         }
 
-    def own(self) -> core_records.Vm:
+    def own_vm(self) -> core_records.Vm:
         """See `services.Membership`."""
         return self._own
 
--- a/packages/gateway/gateway/pings.py
+++ b/packages/gateway/gateway/pings.py
@@ -79,11 +79,13 @@
         self._members = self._kernel.find(services.MEMBERSHIP, members.Members)
         self._peers = self._kernel.find(services.PEERS, services.Peers)
         self._feed = self._kernel.find(names.CONFIGURATION, configuration.Feed)
-        self._peers.handle(Ping, services.QuickHandler(self._on_ping))
-        self._peers.handle(
-            FetchConfiguration, services.QuickHandler(self._on_fetch)
+        self._peers.register_handler(
+            Ping, services.InlineHandler(self._on_ping)
         )
-        self._peers.understand(Pong, configuration.Told)
+        self._peers.register_handler(
+            FetchConfiguration, services.InlineHandler(self._on_fetch)
+        )
+        self._peers.register_answers(Pong, configuration.Told)
         self._members.set_probe(self._is_reachable)
         threading.Thread(target=self._run, name="pings", daemon=True).start()
 
@@ -126,7 +128,7 @@
                 return
             self._fetch_newer()
             by_domain: dict[str, list[str]] = {}
-            own = self._members.own().vm
+            own = self._members.own_vm().vm
             for row in self._members.entry_vms():
                 if row.vm != own:
                     by_domain.setdefault(row.failure_domain, []).append(row.vm)
@@ -154,7 +156,7 @@
         unsuspected = [vm for vm in vms if not self._members.is_suspected(vm)]
         if len(unsuspected) < len(vms):
             return random.choice(unsuspected or vms)
-        own = self._members.own().vm
+        own = self._members.own_vm().vm
         return random.choice(
             rendezvous.rank(f"ping {own}", vms)[:_PING_TARGETS]
         )
--- a/packages/gateway/gateway/placement.py
+++ b/packages/gateway/gateway/placement.py
@@ -112,10 +112,10 @@
         self._leader = slotleader.SlotLeader(self._upstreams, self._peers)
         self._leader.start()
         self._upstreams.on_change(self._on_list_change)
-        self._peers.handle(
-            slotmessages.Yield, services.QuickHandler(self._on_yield)
+        self._peers.register_handler(
+            slotmessages.Yield, services.InlineHandler(self._on_yield)
         )
-        self._peers.understand(
+        self._peers.register_answers(
             slotmessages.Taken, slotmessages.TakenBatch, slotmessages.Done
         )
         for target in (self._send_updates, self._send_reports):
--- a/packages/gateway/gateway/rates.py
+++ b/packages/gateway/gateway/rates.py
@@ -91,8 +91,8 @@
         self._peers = find(services.PEERS, services.Peers)
         self._timed_calls = timedcalls.TimedCalls(self._peers)
         self._feed = find(names.CONFIGURATION, configuration.Feed)
-        self._peers.handle(Spend, self._on_spend)
-        self._peers.understand(Spent)
+        self._peers.register_handler(Spend, self._on_spend)
+        self._peers.register_answers(Spent)
 
     def stop(self, grace_s: float) -> None:
         """See `kernel.Service`."""
--- a/packages/gateway/gateway/runner.py
+++ b/packages/gateway/gateway/runner.py
@@ -348,7 +348,7 @@
             deadline_s=-1.0,
             max_silence_s=_MAX_SILENCE_S,
             last_event_id=item.last_event,
-            on_open=slot.set_cancel_callback,
+            on_connected=slot.set_cancel_callback,
         )
         if isinstance(sent, result.Err):
             failure = sent.err_value
@@ -384,7 +384,7 @@
                     item.last_event = event.event_id
                 if event.data is not None:
                     item.output.append(event.data)
-            answer.allow_silence(_MAX_CHUNK_GAP_S)
+            answer.set_read_timeout(_MAX_CHUNK_GAP_S)
             item.consecutive_pauses = 0
             self._placement.health.record_data(slot.upstream.instance)
             if state.is_dropped:
--- a/packages/gateway/gateway/slotleader.py
+++ b/packages/gateway/gateway/slotleader.py
@@ -36,7 +36,7 @@
 
     def start(self) -> None:
         """Starts to answer other VMs."""
-        handle = self._peers.handle
+        handle = self._peers.register_handler
         # All handlers run on the thread that reads the connection, so that a
         # VM's messages keep their order: a report sent before a release must
         # not be applied after it.
@@ -46,7 +46,7 @@
             (slotmessages.News, self._on_news),
             (slotmessages.Report, self._on_report),
         ):
-            handle(kind, services.QuickHandler(handler))
+            handle(kind, services.InlineHandler(handler))
         threading.Thread(
             target=self._send_yields, name="yields", daemon=True
         ).start()
--- a/packages/gateway/gateway/storepath.py
+++ b/packages/gateway/gateway/storepath.py
@@ -77,8 +77,8 @@
         self._probe_key = f"{dialect_.store_keys.own_prefix}probe"
         peers = find(services.PEERS, services.Peers)
         for kind in storemessages.REQUESTS:
-            peers.handle(kind, self._serve_peer)
-        peers.understand(*storemessages.ANSWERS)
+            peers.register_handler(kind, self._serve_peer)
+        peers.register_answers(*storemessages.ANSWERS)
         self._peers = peers
 
     def stop(self, grace_s: float) -> None:
@@ -211,7 +211,7 @@
 
     def _choose_helpers(self) -> tuple[str, ...]:
         """Returns the VMs to call through, the last helper first."""
-        own = self._members.own().vm
+        own = self._members.own_vm().vm
         # The probers are the first to detect that a store that was
         # unavailable to all VMs is back.
         ranked = (
@@ -281,7 +281,7 @@
 
     def _probe_pause_s(self, lost_s: float) -> float:
         is_prober = (
-            self._peers is None or self._members.own().vm in self._probers()
+            self._peers is None or self._members.own_vm().vm in self._probers()
         )
         return storeprobing.pause_s(
             lost_s, is_outage=self._is_outage(), is_prober=is_prober
--- a/packages/gateway/gateway/storereaders.py
+++ b/packages/gateway/gateway/storereaders.py
@@ -135,8 +135,10 @@
             names.UPSTREAM_LIST, upstreamlist.UpstreamList
         )
         self._job_listing = find(names.JOB_LISTING, joblisting.JobListing)
-        self._peers.handle(Follow, services.QuickHandler(self._on_follow))
-        self._peers.understand(Followed)
+        self._peers.register_handler(
+            Follow, services.InlineHandler(self._on_follow)
+        )
+        self._peers.register_answers(Followed)
         self._started_s = time.monotonic()
         self._feed.watch_while(self._should_watch)
         threading.Thread(target=self._run, name="reading", daemon=True).start()
@@ -167,7 +169,7 @@
     def _step(self) -> float:
         """Reads or follows once; returns the pause after it in seconds."""
         readers = self._members.leader_with_backups("readers", _READER_COUNT)
-        own = self._members.own().vm
+        own = self._members.own_vm().vm
         if own not in readers and self._follow_any(readers):
             self._set_reader(False)
             return _FOLLOW_INTERVAL_S
--- a/packages/gateway/gateway/takeover.py
+++ b/packages/gateway/gateway/takeover.py
@@ -46,7 +46,7 @@
         self._store = store
         self._job_store = job_store
         self._members = vms
-        self._vm = vms.own().vm
+        self._vm = vms.own_vm().vm
 
     def take(
         self, job: str
@@ -154,7 +154,7 @@
         self._job_store = job_store
         self._listing = listing
         self._members = vms
-        self._vm = vms.own().vm
+        self._vm = vms.own_vm().vm
         self._table = table
         self._claims = claims
         self._on_job = on_job
--- a/packages/gateway/gateway/upstreamsender.py
+++ b/packages/gateway/gateway/upstreamsender.py
@@ -91,7 +91,7 @@
         deadline_s: float,
         max_silence_s: float,
         last_event_id: int | None,
-        on_open: Callable[[Callable[[], None]], None],
+        on_connected: Callable[[Callable[[], None]], None],
     ) -> result.Result[OpenAnswer, Failure]:
         """Sends a request and reads the head of the answer.
 
@@ -106,8 +106,8 @@
                 and after the head.
             last_event_id: The id of the event after which to resume a stream;
                 `None` to start from the beginning.
-            on_open: Called with a function that cancels the send and may be
-                called from any thread.
+            on_connected: Called with a function that cancels the send and may
+                be called from any thread.
 
         Returns:
             The open answer, or why the send failed.
@@ -134,7 +134,7 @@
             headers,
             outgoing.body,
             max_silence_s,
-            on_open=on_open,
+            on_connected=on_connected,
         )
         if isinstance(sent, result.Err):
             return result.Err(self.record_failure(slot, sent.err_value))
--- a/tests/core/test_memory.py
+++ b/tests/core/test_memory.py
@@ -19,7 +19,7 @@
     # 52 ms, once on each VM.
     old = Node()
     try:
-        memory.keep_started_objects()
+        memory.freeze_startup_objects()
         assert gc.get_freeze_count() > 0
         assert not any(one is old for one in gc.get_objects())
         new_node = weakref.ref(Node())
--- a/tests/daemon/test_countlists.py
+++ b/tests/daemon/test_countlists.py
@@ -164,7 +164,9 @@
     assert owned != owning.topology().by_owner["vm-b"]
 
     for _ in range(12):
-        work = services.Work("c", "online", "m", "", b"", 10, "", 0.0)
+        work = services.PlacementRequest(
+            "c", "online", "m", "", b"", 10, "", 0.0
+        )
         assert reporting.acquire(work).is_ok()
 
     def differences() -> dict[str, int]:
@@ -198,10 +200,10 @@
         self.has_first_call = threading.Event()
         self.may_deliver = threading.Event()
 
-    def handle(self, kind: type[Any], handler: Any) -> None:
+    def register_handler(self, kind: type[Any], handler: Any) -> None:
         pass
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         pass
 
     def call(self, vm: str, message: Any, timeout_s: float) -> Any:
--- a/tests/daemon/test_crashnotices.py
+++ b/tests/daemon/test_crashnotices.py
@@ -31,7 +31,7 @@
     def __init__(self, rows: tuple[records.Vm, ...]) -> None:
         self._rows = rows
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         return self._rows[0]
 
     def incarnation(self) -> str:
--- a/tests/daemon/test_edits.py
+++ b/tests/daemon/test_edits.py
@@ -164,23 +164,23 @@
     store = platformfakes.Store()
     vm = OperatorVm(store, "v1")
     row = records.Customer(NAMES[0])
-    opening = records.Opening(NAMES[0], 20.0, 0.0, ())
-    later = opening._replace(made_s=1.0)
+    initial_tokens = records.InitialTokens(NAMES[0], 20.0, 0.0, ())
+    later = initial_tokens._replace(created_s=1.0)
 
-    def openings() -> tuple[records.Opening, ...]:
+    def openings() -> tuple[records.InitialTokens, ...]:
         held = store.keyspace.get(KEY)
         assert held is not None
         return pages.decode(held.value).openings
 
-    make = rewrites.put_customer(row, 0, opening)
+    make = rewrites.put_customer(row, 0, initial_tokens)
     assert vm.editor.edit(KEY, make).is_ok()
-    assert openings() == (opening,)
+    assert openings() == (initial_tokens,)
     key = rewrites.add_key(records.Key("hash", NAMES[0], ""))
     assert vm.editor.edit(KEY, key).is_ok()
-    assert vm.config.opening(NAMES[0]) == opening
+    assert vm.config.initial_tokens(NAMES[0]) == initial_tokens
     gone = rewrites.delete_customer(NAMES[0])
     assert vm.editor.edit(KEY, gone).is_ok()
     again = rewrites.put_rows((row,), None, (later,))
     assert vm.editor.edit(KEY, again).is_ok()
     assert openings() == ()
-    assert vm.config.opening(NAMES[0]) is None
+    assert vm.config.initial_tokens(NAMES[0]) is None
--- a/tests/daemon/test_intents.py
+++ b/tests/daemon/test_intents.py
@@ -35,10 +35,10 @@
     def __init__(self, owner: "IntentsMachine") -> None:
         self._owner = owner
 
-    def handle(self, kind: Any, handler: Any) -> None:
+    def register_handler(self, kind: Any, handler: Any) -> None:
         pass
 
-    def understand(self, *kinds: Any) -> None:
+    def register_answers(self, *kinds: Any) -> None:
         pass
 
     def call(
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -91,9 +91,9 @@
     # distinguish a newly created row from one it had not seen before.
     row = records.Customer("acme", rate_per_s=2, burst=12)
     fleet = _fleet(3, 2)
-    opening = fleet.nodes["d2v1"].limits.opening(row)
+    initial_tokens = fleet.nodes["d2v1"].limits.initial_tokens(row)
     for node in fleet.nodes.values():
-        node.config.apply(row, opening)
+        node.config.apply(row, initial_tokens)
     assert sum(_take(fleet, "d1v0") for _ in range(40)) == 12
 
 
@@ -104,9 +104,9 @@
     fleet = limitfakes.Fleet(())
     for domain in range(3):
         fleet.add(f"d{domain}v0", f"d{domain}")
-    opening = fleet.nodes["d2v0"].limits.opening(row)
+    initial_tokens = fleet.nodes["d2v0"].limits.initial_tokens(row)
     for node in fleet.nodes.values():
-        node.config.apply(row, opening)
+        node.config.apply(row, initial_tokens)
     fleet.settle(2)
     assert sum(_take(fleet, "d1v0") for _ in range(40)) == 12
 
--- a/tests/daemon/test_limits_faults.py
+++ b/tests/daemon/test_limits_faults.py
@@ -317,7 +317,7 @@
         if not is_early:
             self.fleet.settle(5)
         maker = self.fleet.nodes[names[0]].limits
-        self.opening = maker.opening(self.row)
+        self.initial_tokens = maker.initial_tokens(self.row)
         self.bucket = limitoracle.Bucket(self.row, self.fleet.world.now_s)
 
     def allow(self) -> None:
@@ -334,7 +334,7 @@
         )
 
     def put_in_force(self, node: limitfakes.Node) -> None:
-        node.config.apply(self.row, self.opening)
+        node.config.apply(self.row, self.initial_tokens)
 
 
 TestOpening = OpeningMachine.TestCase
--- a/tests/daemon/test_owner.py
+++ b/tests/daemon/test_owner.py
@@ -95,21 +95,24 @@
     The part's fraction has changed from 0.25 to 0.5 before the row arrives.
 
     Args:
-        fraction: The part's fraction in the row's opening.
-        epoch: The part's epoch in the opening; the part itself is in epoch 2.
+        fraction: The part's fraction in the row's initial tokens.
+        epoch: The part's epoch in the initial tokens; the part itself is in
+            epoch 2.
     """
-    opening = records.Opening(
-        "a", 20, 0.0, (records.OpeningPart("d0", epoch, fraction),)
+    initial_tokens = records.InitialTokens(
+        "a", 20, 0.0, (records.InitialTokensPart("d0", epoch, fraction),)
     )
     part = shares.Part("d0", 0.25, "v", "run", epoch=2)
-    owned = owner.OwnedPart(0, part, clock_lib.FakeClock(), lambda _: opening)
+    owned = owner.OwnedPart(
+        0, part, clock_lib.FakeClock(), lambda _: initial_tokens
+    )
     owned.set_part(part._replace(fraction=0.5))
     owned.set_rows({"a": _ROW})
     owned.set_rows({"a": _ROW})
     return owned.totals()["a"][0]
 
 
-def test_new_row_starts_with_the_fraction_of_its_opening() -> None:
+def test_new_row_starts_with_the_fraction_of_its_initial_tokens() -> None:
     # Guards against admitting more than the burst: another part fills its
     # bucket and moves a fraction here before this part gets the new row, so
     # filling by the new fraction would repeat tokens already granted there.
--- a/tests/daemon/test_peers.py
+++ b/tests/daemon/test_peers.py
@@ -41,8 +41,8 @@
             controlplane.settings("x:1", vm=vm, peers_address=row.peer_address),
         )
         self.vm = vm
-        self.peers.understand(Reply)
-        self.peers.handle(Ask, self.answer)
+        self.peers.register_answers(Reply)
+        self.peers.register_handler(Ask, self.answer)
 
     def answer(self, vm: str, message: Ask) -> Any:
         return Reply(self.vm, message.number)
@@ -71,7 +71,7 @@
             asked.wait(_LONG_S)
             return Reply(vm, message.number)
 
-        b.peers.handle(Ask, answer)
+        b.peers.register_handler(Ask, answer)
         with futures.ThreadPoolExecutor(3) as pool:
             calls = [
                 pool.submit(a.peers.call, "b", Ask(number), _LONG_S)
@@ -91,7 +91,7 @@
                 given_up.wait(_LONG_S)
             return Reply(vm, message.number)
 
-        b.peers.handle(Ask, answer)
+        b.peers.register_handler(Ask, answer)
         assert a.peers.call("b", Ask(0), _LONG_S).is_ok()
         late = a.peers.call("b", Ask(1), 0.05)
         assert late.unwrap_err().kind == "timeout"
@@ -153,11 +153,11 @@
         raise ValueError("broken")
 
     with PeerVm("a", listed) as a, PeerVm("b", listed) as b:
-        b.peers.handle(Ask, fail)
+        b.peers.register_handler(Ask, fail)
         for message in (Ask(1), Unknown(1)):
             error = a.peers.call("b", message, _LONG_S).unwrap_err()
             assert error.kind == "refused"
-        a.peers.handle(Ask, fail)
+        a.peers.register_handler(Ask, fail)
         assert a.peers.call("a", Ask(1), 1.0).unwrap_err().kind == "refused"
 
 
@@ -177,8 +177,8 @@
         def fail(vm: str, message: Ask) -> Any:
             raise ValueError("broken")
 
-        b.peers.handle(Slow, wait)
-        b.peers.handle(Ask, services.QuickHandler(b.answer))
+        b.peers.register_handler(Slow, wait)
+        b.peers.register_handler(Ask, services.InlineHandler(b.answer))
         with futures.ThreadPoolExecutor() as pool:
             slow = [
                 pool.submit(a.peers.call, "b", Slow(number), _LONG_S)
@@ -186,7 +186,7 @@
             ]
             # More calls are in progress than run at once.
             assert a.peers.call("b", Ask(1), _LONG_S).unwrap().number == 1
-            b.peers.handle(Ask, services.QuickHandler(fail))
+            b.peers.register_handler(Ask, services.InlineHandler(fail))
             error = a.peers.call("b", Ask(2), _LONG_S).unwrap_err()
             assert error.kind == "refused"
             go_on.set()
@@ -218,7 +218,7 @@
             go_on.wait(_LONG_S)
             return Reply(vm, message.number)
 
-        b.peers.handle(Ask, answer)
+        b.peers.register_handler(Ask, answer)
         link = links.Link(
             links.Target("b", listed[1].peer_address),
             wire.Hello("a", "run", "d"),
--- a/tests/daemon/test_queues.py
+++ b/tests/daemon/test_queues.py
@@ -77,5 +77,7 @@
     assert sorted(served) == ["heavy"] * 3 + ["light"]
 
 
-def _work(customer: str) -> services.Work:
-    return services.Work(customer, "online", "m", "", b"", 10, "", 30.0)
+def _work(customer: str) -> services.PlacementRequest:
+    return services.PlacementRequest(
+        customer, "online", "m", "", b"", 10, "", 30.0
+    )
--- a/tests/daemon/test_router.py
+++ b/tests/daemon/test_router.py
@@ -29,8 +29,8 @@
 
 def work(
     work_class: records.WorkClass, fingerprint: str = "", customer: str = "c"
-) -> services.Work:
-    return services.Work(
+) -> services.PlacementRequest:
+    return services.PlacementRequest(
         customer, work_class, "m", "", b"", 10, fingerprint, 0.0
     )
 
@@ -82,7 +82,7 @@
 
 
 def take(
-    router: router_lib.UpstreamRouter, wanted: services.Work
+    router: router_lib.UpstreamRouter, wanted: services.PlacementRequest
 ) -> services.Slot | None:
     answer = router.acquire(wanted)
     return answer.unwrap() if isinstance(answer, result.Ok) else None
@@ -247,7 +247,7 @@
     owned = sorted(router.topology().owned)
     assert len(owned) > 1
     for name in owned:
-        resumed = take(router, work("batch")._replace(resumes_at=name))
+        resumed = take(router, work("batch")._replace(resume_upstream=name))
         assert resumed is not None
         assert resumed.upstream.upstream == name
         resumed.release("ok")
@@ -280,13 +280,13 @@
     assert len(on_e1) == SLOTS - RESERVE
     found: list[str] = []
 
-    def wait_for_slot(name: str, wanted: services.Work) -> None:
+    def wait_for_slot(name: str, wanted: services.PlacementRequest) -> None:
         answer = router.acquire(wanted._replace(deadline_s=30.0))
         found.append(f"{name} {answer.unwrap().upstream.upstream}")
 
-    waits: tuple[tuple[str, services.Work], ...] = (
+    waits: tuple[tuple[str, services.PlacementRequest], ...] = (
         ("new", work("batch")),
-        ("yielded", work("batch")._replace(resumes_at="e1")),
+        ("yielded", work("batch")._replace(resume_upstream="e1")),
     )
     threads = []
     for count, (name, wanted) in enumerate(waits, 1):
--- a/tests/daemon/test_store.py
+++ b/tests/daemon/test_store.py
@@ -106,7 +106,7 @@
         b"1234",
     )
     peers = batchfakes.FakePeers(fleet.network, "client")
-    peers.understand(*objects.ANSWERS)
+    peers.register_answers(*objects.ANSWERS)
     assert peers.call("vm0", half, 1.0).unwrap().status == "ok"
     get = objects.StoreGet("a/0", 0, 100)
     assert peers.call("vm0", get, 1.0).unwrap().status == "missing"
--- a/tests/daemon/test_upstreams.py
+++ b/tests/daemon/test_upstreams.py
@@ -128,12 +128,12 @@
     sent.ok_value.close()
     cancels: list[Any] = []
 
-    def on_open(cancel: Any) -> None:
+    def on_connected(cancel: Any) -> None:
         cancels.append(cancel)
         threading.Timer(0.05, cancel).start()
 
     head = client.send(
-        row, "GET", "/", {}, b"", timeout_s=30.0, on_open=on_open
+        row, "GET", "/", {}, b"", timeout_s=30.0, on_connected=on_connected
     )
     assert isinstance(head, result.Err)
     assert head.err_value.kind == "cancelled"
@@ -205,7 +205,7 @@
             {},
             json.dumps(call).encode(),
             timeout_s,
-            on_open=cancels.append,
+            on_connected=cancels.append,
         )
         # A request fails only during a fault or after a short timeout; an
         # earlier fault must not affect it.
--- a/tests/daemon/test_vmqueues.py
+++ b/tests/daemon/test_vmqueues.py
@@ -121,5 +121,7 @@
     return int(queues["m"]["online"]) if "m" in queues else 0
 
 
-def _work(customer: str) -> services.Work:
-    return services.Work(customer, "online", "m", "", b"", 10, "", 30.0)
+def _work(customer: str) -> services.PlacementRequest:
+    return services.PlacementRequest(
+        customer, "online", "m", "", b"", 10, "", 30.0
+    )
--- a/tests/gateway/test_storereaders.py
+++ b/tests/gateway/test_storereaders.py
@@ -52,7 +52,7 @@
     vms = _vms(scene, 4)
     readers = _readers(vms)
     domains = {
-        vm.kernel.find("membership", members.Members).own().failure_domain
+        vm.kernel.find("membership", members.Members).own_vm().failure_domain
         for vm in readers
     }
     assert domains == {"d0", "d1"}
--- a/tests/support/batchfakes.py
+++ b/tests/support/batchfakes.py
@@ -64,7 +64,7 @@
         super().__init__(network, vm)
         self._registry = codec.Registry()
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         self._registry.add(*kinds)
 
     def call(
@@ -228,7 +228,7 @@
 
     def claim(self, offer: batchmessages.Offer) -> result.Result[Any, Any]:
         """Claims an offered chunk in this VM's name, outside its worker."""
-        row = self.membership.own()
+        row = self.membership.own_vm()
         keyvalue: Any = self.keyvalue
         claimer = claims.Claims(
             keyvalue,
--- a/tests/support/batchupstreams.py
+++ b/tests/support/batchupstreams.py
@@ -39,15 +39,15 @@
 
     def __init__(self) -> None:
         self.slots = 1000
-        self.refuse: Callable[[services.Work], services.Refusal | None] = (
-            lambda work: None
-        )
+        self.refuse: Callable[
+            [services.PlacementRequest], services.Refusal | None
+        ] = lambda work: None
 
     def batch_slots(self, model: str) -> int:
         return self.slots
 
     def acquire(
-        self, work: services.Work
+        self, work: services.PlacementRequest
     ) -> result.Result[services.Slot, services.Refusal]:
         refusal = self.refuse(work)
         return result.Err(refusal) if refusal else result.Ok(FakeSlot())
@@ -62,7 +62,7 @@
     def chunks(self) -> Iterator[result.Result[bytes, services.UpstreamError]]:
         yield result.Ok(self._body)
 
-    def allow_silence(self, timeout_s: float) -> None: ...
+    def set_read_timeout(self, timeout_s: float) -> None: ...
 
     def cancel(self) -> None: ...
 
@@ -102,14 +102,14 @@
         body: Iterator[bytes] | bytes,
         timeout_s: float,
         *,
-        is_fresh: bool = False,
-        on_open: Callable[[Callable[[], None]], None] | None = None,
+        use_new_connection: bool = False,
+        on_connected: Callable[[Callable[[], None]], None] | None = None,
     ) -> result.Result[services.UpstreamAnswer, services.UpstreamError]:
         assert isinstance(body, bytes)
         prompt = json.loads(body)["prompt"]
         self.prompts.append(prompt)
-        if on_open is not None:
-            on_open(lambda: None)
+        if on_connected is not None:
+            on_connected(lambda: None)
         fault: result.Result[services.UpstreamAnswer, services.UpstreamError]
         fault = self.fault(prompt)
         if fault is not None:
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -52,7 +52,7 @@
         self._own = own
         self._run = run
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         return self._own
 
     def incarnation(self) -> str:
@@ -102,12 +102,12 @@
         self._vm = vm
         network.handlers[vm] = {}
 
-    def handle(
+    def register_handler(
         self, kind: type[Any], handler: Callable[[str, Any], Any]
     ) -> None:
         self._network.handlers[self._vm][kind] = handler
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         pass
 
     def call(
--- a/tests/support/mixedupstreams.py
+++ b/tests/support/mixedupstreams.py
@@ -96,8 +96,8 @@
         body: Iterator[bytes] | bytes,
         timeout_s: float,
         *,
-        is_fresh: bool = False,
-        on_open: Callable[[Callable[[], None]], None] | None = None,
+        use_new_connection: bool = False,
+        on_connected: Callable[[Callable[[], None]], None] | None = None,
     ) -> result.Result[services.UpstreamAnswer, services.UpstreamError]:
         self._require(
             upstream.vm not in self.leaving, "a leaving upstream got a request"
@@ -113,8 +113,8 @@
         self.breaks[text] += bool(fault or self.fault(text))
         run = batchupstreams.answer(text, self.prompts.count(text) + 1)
         answer = Answer(json.dumps(run).encode(), fault == "cut_answer")
-        if on_open is not None:
-            on_open(answer.cancel)
+        if on_connected is not None:
+            on_connected(answer.cancel)
         if fault == "not_taken":
             return _failed("crashed", "unknown")
         self.prompts.append(text)
@@ -130,6 +130,7 @@
 
 
 def _failed(
-    kind: Literal["unreachable", "crashed", "cancelled"], ran: services.Ran
+    kind: Literal["unreachable", "crashed", "cancelled"],
+    ran: services.ExecutionStatus,
 ) -> result.Err[services.UpstreamError]:
     return result.Err(services.UpstreamError(kind, ran, kind))
--- a/tests/support/orderfakes.py
+++ b/tests/support/orderfakes.py
@@ -242,7 +242,7 @@
         self._own = records.Vm(vm, "d0", "entry")
         self.run = 1
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         return self._own
 
     def incarnation(self) -> str:
