--- a/packages/bench/bench/limitcost.py
+++ b/packages/bench/bench/limitcost.py
@@ -19,8 +19,8 @@
 from bench import limitfakes
 from bench import limitpolicies
 from bulrushdeal import records
-from bulrushdeald import bucket
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
+from bulrushdeald import tokenledger
 
 _TICK_S = 0.1
 _TICKS_PER_TEND = 10
@@ -162,7 +162,7 @@
         for index, node in enumerate(fleet.nodes.values()):
             if (index + self._ticks) % _TICKS_PER_TEND == 0:
                 node.limits.refresh()
-                node.limits.tend()
+                node.limits.run_maintenance()
         self._scenario.unready = {
             vm for vm, node in fleet.nodes.items() if not node.limits.is_ready()
         }
@@ -173,7 +173,7 @@
             len(node.limits.dump().owned) for node in self.fleet.nodes.values()
         )
         domains = set(self._scenario.domain_of.values())
-        return owned == shares.PAGES * len(domains)
+        return owned == limitrecords.PAGES * len(domains)
 
     def reset_counts(self) -> None:
         """Resets the counts of messages and writes and counts bytes too."""
@@ -364,7 +364,7 @@
     tracemalloc.start()
     ledgers = []
     for _ in range(count):
-        ledger = bucket.Ledger(bucket.Terms(10.0, 20.0), 0.0)
+        ledger = tokenledger.Ledger(tokenledger.Terms(10.0, 20.0), 0.0)
         for holder in ("a", "b", "c"):
             ledger.report(holder, 1.0)
         ledgers.append(ledger)
--- a/packages/bench/bench/limitfakes.py
+++ b/packages/bench/bench/limitfakes.py
@@ -428,15 +428,15 @@
         ]
 
     def tend(self) -> None:
-        """Runs `refresh` and `tend` of the limits on each running VM."""
+        """Runs `refresh` and `run_maintenance` on each running VM."""
         for node in self.running():
             node.limits.refresh()
-            node.limits.tend()
+            node.limits.run_maintenance()
 
     def work(self) -> None:
         """Runs `work` of the limits on each running VM."""
         for node in self.running():
-            node.limits.work()
+            node.limits.run_urgent_tasks()
 
     def settle(self, seconds: int) -> None:
         """Advances the time in steps of a second, with `tend` after each."""
--- a/packages/daemon/bulrushdeald/admission.py
+++ b/packages/daemon/bulrushdeald/admission.py
@@ -6,11 +6,11 @@
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeald import collector as collector_lib
-from bulrushdeald import holder as holder_lib
+from bulrushdeald import creditholder
+from bulrushdeald import limitrecords
+from bulrushdeald import limitrecordstore
 from bulrushdeald import ownership as ownership_lib
 from bulrushdeald import services
-from bulrushdeald import sharebook
-from bulrushdeald import shares
 
 _RETRY_S = 1.0
 # Most times that one request asks its part's owner. A round costs one or two
@@ -54,8 +54,8 @@
     def __init__(
         self,
         config: services.Config,
-        book: sharebook.ShareBook,
-        holder: holder_lib.Holder,
+        book: limitrecordstore.ShareBook,
+        holder: creditholder.Holder,
         collector: collector_lib.Collector,
         ownership: ownership_lib.Ownership,
         clock: clock_lib.Clock,
@@ -138,30 +138,32 @@
             if answer.grant is None:
                 continue
             wait_s = answer.grant.wait_s or wait_s
-            if answer.grant.again_s > 0:
-                self._await_collection(customer, answer.grant.again_s)
+            if answer.grant.retry_after_s > 0:
+                self._await_collection(customer, answer.grant.retry_after_s)
             elif answer.grant.granted <= 0:
                 break
         return _rate_limited(wait_s)
 
-    def _await_collection(self, customer: str, again_s: float) -> None:
-        owned = self._ownership.find(shares.page_of(customer), self._domain)
+    def _await_collection(self, customer: str, retry_after_s: float) -> None:
+        owned = self._ownership.find(
+            limitrecords.page_of(customer), self._domain
+        )
         if owned is not None:
             self._collector.collect(owned)
             return
-        self._clock.sleep_s(again_s)
+        self._clock.sleep_s(retry_after_s)
 
     def _ask_other_domains(
         self, customer: str, count: float
     ) -> services.Refusal | None:
-        stored = self._book.get(shares.page_of(customer))
+        stored = self._book.get(limitrecords.page_of(customer))
         parts = () if stored is None else stored.page.parts
         domains = [
             part.failure_domain
             for part in parts
             if part.failure_domain != self._domain and part.vm
         ]
-        domains = shares.rank(f"{self._domain}/{customer}", domains)
+        domains = limitrecords.rank(f"{self._domain}/{customer}", domains)
         refusal = _UNAVAILABLE
         for failure_domain in domains[:_MAX_OTHER_DOMAINS]:
             for _ in range(_ROUNDS_PER_DOMAIN):
--- a/packages/daemon/bulrushdeald/collector.py
+++ b/packages/daemon/bulrushdeald/collector.py
@@ -1,9 +1,9 @@
 """Borrows tokens for an owned part from the page's other owners."""
 
-from bulrushdeald import asker
 from bulrushdeald import credit
-from bulrushdeald import owner
-from bulrushdeald import sharebook
+from bulrushdeald import creditclient
+from bulrushdeald import limitrecordstore
+from bulrushdeald import ownedpart
 from bulrushdeald import shortage
 
 _EPSILON = 1e-9
@@ -20,21 +20,23 @@
     thread at a time, so its messages to an owner never overtake each other.
     """
 
-    def __init__(self, book: sharebook.ShareBook, sender: asker.Sender) -> None:
+    def __init__(
+        self, book: limitrecordstore.ShareBook, sender: creditclient.Sender
+    ) -> None:
         self._book = book
         self._sender = sender
         self._balance_offset = 0
 
-    def collect(self, owned: owner.OwnedPart) -> None:
+    def collect(self, owned: ownedpart.OwnedPart) -> None:
         """Borrows what a part's waiting requests lack, as far as possible."""
         with owned.exchange:
             try:
                 self._collect(owned)
             finally:
-                owned.collection_ended()
+                owned.end_collection()
 
-    def _collect(self, owned: owner.OwnedPart) -> None:
-        unmet = list(owned.shortages())
+    def _collect(self, owned: ownedpart.OwnedPart) -> None:
+        unmet = list(owned.begin_collection())
         if not unmet:
             return
         first = unmet[0].customer
@@ -51,18 +53,18 @@
             asked += 1
             for name in names - {item.customer for item in unmet}:
                 owned.last_lender[name] = source.failure_domain
-                owned.collected(name, asked)
+                owned.note_shortage_met(name, asked)
 
     def _collect_from(
         self,
-        owned: owner.OwnedPart,
+        owned: ownedpart.OwnedPart,
         source: credit.Source,
         vm: str,
         shortages: list[shortage.Shortage],
     ) -> list[shortage.Shortage]:
         """Asks one lender and returns the shortages that remain."""
-        drop_count = owned.drops
-        wants = tuple(owned.want(source, item) for item in shortages)
+        drop_count = owned.drop_count
+        wants = tuple(owned.prepare_want(source, item) for item in shortages)
         reply = self._sender.send(vm, owned.page, source, wants, owned.source)
         unmet: list[shortage.Shortage] = []
         for want, item in zip(wants, shortages, strict=True):
@@ -73,10 +75,10 @@
                 unmet.append(item._replace(missing=left))
         return unmet
 
-    def balance(self, owned: owner.OwnedPart) -> None:
+    def balance(self, owned: ownedpart.OwnedPart) -> None:
         """Evens out a part's low buckets with the next lenders, in rotation."""
         with owned.exchange:
-            low = owned.low()
+            low = owned.take_low_customers()
             if not low:
                 return
             lenders = self._lenders(owned)
@@ -89,31 +91,31 @@
             ]:
                 self._collect_from(owned, source, vm, list(low))
 
-    def settle(self, owned: owner.OwnedPart) -> None:
+    def settle(self, owned: ownedpart.OwnedPart) -> None:
         """Repays a part's debts and returns idle borrowed tokens."""
         with owned.exchange:
             self._settle(owned)
 
-    def _settle(self, owned: owner.OwnedPart) -> None:
+    def _settle(self, owned: ownedpart.OwnedPart) -> None:
         for source, names in owned.debts().items():
             part = self._book.part(owned.page, source.failure_domain)
             if part is None or part.epoch != source.epoch:
-                owned.void(source.failure_domain, source.epoch + 1)
-                owned.settled(source)
+                owned.write_off(source.failure_domain, source.epoch + 1)
+                owned.mark_settled(source)
                 continue
             wants = []
             for name in sorted(names):
                 returned = owned.give_back(source, name)
-                held = owned.owed(source, name)
+                held = owned.repay(source, name)
                 wants.append(credit.Want(name, held, returned=returned))
             reply = self._sender.send(
                 part.vm, owned.page, source, tuple(wants), owned.source
             )
             if reply.is_answered:
-                owned.settled(source)
+                owned.mark_settled(source)
 
     def _lenders(
-        self, owned: owner.OwnedPart
+        self, owned: ownedpart.OwnedPart
     ) -> list[tuple[credit.Source, str]]:
         stored = self._book.get(owned.page)
         if stored is None:
--- a/packages/daemon/bulrushdeald/config.py
+++ b/packages/daemon/bulrushdeald/config.py
@@ -18,7 +18,7 @@
 from bulrushdeald import pages
 from bulrushdeald import pageset
 from bulrushdeald import services
-from bulrushdeald import watchers
+from bulrushdeald import watcherchoice
 
 # The age of the configuration is reset each time a watch returns, so this
 # timeout bounds the age that a watcher reports.
@@ -222,7 +222,7 @@
         had no contact with a peer for some seconds.
         """
         own = self._membership.own_vm()
-        chosen = watchers.choose(
+        chosen = watcherchoice.choose_watchers(
             self._membership.entry_vms(), own.failure_domain
         )
         is_chosen = own.vm in chosen
--- a/packages/daemon/bulrushdeald/credit.py
+++ b/packages/daemon/bulrushdeald/credit.py
@@ -11,7 +11,7 @@
 _EPSILON = 1e-9
 
 
-def compact(count: float) -> float:
+def int_if_whole(count: float) -> float:
     """Returns whole numbers as `int`: one byte on the wire, not nine."""
     return int(count) if count == int(count) else count
 
@@ -68,18 +68,19 @@
     Attributes:
         granted: Tokens; 0 if fewer than `need` are available.
         burst: The burst in the owner's copy of the row.
-        again_s: In how many seconds to ask again, if the owner is collecting
-            tokens from other parts; else 0.
+        retry_after_s: In how many seconds to ask again, if the owner is
+            collecting tokens from other parts; else 0.
         wait_s: In how many seconds the tokens will be available, if no other
             holder takes them.
-        tight: Whether the owner needs a prompt report of what was spent.
+        needs_prompt_report: Whether the owner needs a prompt report of what
+            was spent.
     """
 
     granted: float
     burst: float
-    again_s: float = 0
+    retry_after_s: float = 0
     wait_s: float = 0
-    tight: bool = False
+    needs_prompt_report: bool = False
 
 
 class CreditGrants(NamedTuple):
@@ -132,16 +133,16 @@
     Attributes:
         burst: The row's burst to which the credit was last scaled.
         touched_s: When credit was last added or spent, in monotonic time.
-        is_tight: Whether an owner asked for a prompt report.
+        needs_prompt_report: Whether an owner asked for a prompt report.
     """
 
     def __init__(self, burst: float) -> None:
         self.burst = burst
         self._held: dict[Source, float] = {}
         # What each owner may count as held here; infinite if unknown.
-        self._declared: dict[Source, float] = {}
+        self._reported: dict[Source, float] = {}
         self.touched_s = 0.0
-        self.is_tight = False
+        self.needs_prompt_report = False
 
     def held(self, source: Source) -> float:
         """Returns the credit of one source."""
@@ -153,12 +154,12 @@
 
     def sources(self) -> tuple[Source, ...]:
         """Returns sources whose credit is held here or counted as held."""
-        return tuple({**self._held, **self._declared})
+        return tuple({**self._held, **self._reported})
 
     def add(self, source: Source, count: float) -> None:
         """Adds what an owner granted."""
         self._held[source] = self.held(source) + count
-        self._declared[source] = self._declared.get(source, 0.0) + count
+        self._reported[source] = self._reported.get(source, 0.0) + count
 
     def spend(self, count: float, now_s: float) -> bool:
         """Spends `count` tokens, or none; returns whether they were spent."""
@@ -172,7 +173,7 @@
             left -= used
         return True
 
-    def give_up(self, source: Source) -> float:
+    def empty_source(self, source: Source) -> float:
         """Drops the credit of one source; returns how much it was."""
         return self._held.pop(source, 0.0)
 
@@ -185,28 +186,28 @@
         for source, held in list(self._held.items()):
             self._set(source, held * factor)
 
-    def declare(self, source: Source) -> float:
+    def take_report(self, source: Source) -> float:
         """Returns the credit to report to the owner, recorded as reported."""
         held = self.held(source)
         if held > 0:
-            self._declared[source] = held
+            self._reported[source] = held
         else:
-            self._declared.pop(source, None)
+            self._reported.pop(source, None)
         return held
 
-    def distrust(self, source: Source) -> None:
+    def mark_report_unknown(self, source: Source) -> None:
         """Marks the owner's count of this wallet's credit as unknown."""
-        self._declared[source] = math.inf
+        self._reported[source] = math.inf
 
-    def is_stale(self, source: Source) -> bool:
+    def needs_report(self, source: Source) -> bool:
         """Tells whether the owner may count more credit than is held."""
-        declared = self._declared.get(source, 0.0)
-        return declared > self.held(source) + _EPSILON
+        reported = self._reported.get(source, 0.0)
+        return reported > self.held(source) + _EPSILON
 
     def forget(self, source: Source) -> None:
         """Forgets a source whose owner is gone."""
         self._held.pop(source, None)
-        self._declared.pop(source, None)
+        self._reported.pop(source, None)
 
     def _set(self, source: Source, held: float) -> None:
         if held > 0:
--- a/packages/daemon/bulrushdeald/holder.py
+++ b/packages/daemon/bulrushdeald/creditholder.py
@@ -6,12 +6,12 @@
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
-from bulrushdeald import asker
-from bulrushdeald import bucket
 from bulrushdeald import credit
-from bulrushdeald import owner
-from bulrushdeald import sharebook
-from bulrushdeald import shares
+from bulrushdeald import creditclient
+from bulrushdeald import limitrecords
+from bulrushdeald import limitrecordstore
+from bulrushdeald import ownedpart
+from bulrushdeald import tokenledger
 
 # Credit that is not used for this long is returned to its owner.
 IDLE_TIMEOUT_S = 1.0
@@ -37,8 +37,8 @@
 
     def __init__(
         self,
-        book: sharebook.ShareBook,
-        sender: asker.Sender,
+        book: limitrecordstore.ShareBook,
+        sender: creditclient.Sender,
         clock: clock_lib.Clock,
         row_of: Callable[[str], records.Customer | None],
     ) -> None:
@@ -49,15 +49,15 @@
         self._lock = threading.Lock()
         self._wallets: dict[str, credit.Wallet] = {}
         self._by_page: dict[int, dict[str, credit.Wallet]] = {}
-        self._demands: dict[str, bucket.Demand] = {}
-        self._coalescers: dict[tuple[int, str], asker.Coalescer] = {}
+        self._demands: dict[str, tokenledger.Demand] = {}
+        self._coalescers: dict[tuple[int, str], creditclient.Coalescer] = {}
         # Number of drops by page. The answer to a message sent before a
         # drop may grant credit of an owner that has been replaced, and is void.
         self._drop_counts: dict[int, int] = {}
         self._is_closed = False
         # Pages whose owner may still count credit held by an earlier process
         # of this VM.
-        self._unannounced = set(range(shares.PAGES))
+        self._unannounced = set(range(limitrecords.PAGES))
 
     def announce(self, failure_domain: str) -> None:
         """Announces this process to the owners of a failure domain's parts.
@@ -75,7 +75,7 @@
             source = credit.Source(failure_domain, part.epoch)
             coalescer = self._coalescer(page, failure_domain)
             pending = coalescer.enter()
-            reply = asker.OwnerReply(False, {})
+            reply = creditclient.OwnerReply(False, {})
             try:
                 reply = self._sender.send(part.vm, page, source, ())
             finally:
@@ -88,7 +88,7 @@
     def note_demand(self, customer: str, count: float) -> None:
         """Records a request in the demand that sizes prefetched credit."""
         with self._lock:
-            demand = self._demands.setdefault(customer, bucket.Demand())
+            demand = self._demands.setdefault(customer, tokenledger.Demand())
             demand.note(count, self._clock.monotonic_s())
 
     def spend(self, customer: str, count: float) -> bool:
@@ -120,7 +120,7 @@
             need: Tokens that a waiting request lacks; 0 accepts any number.
             prefetch: Whether to ask for credit for expected requests as well.
         """
-        page = shares.page_of(customer)
+        page = limitrecords.page_of(customer)
         want = max(need, self._shortfall(customer))
         if prefetch:
             want += self._prefetch_count(customer)
@@ -130,7 +130,7 @@
             # Another thread sent the message and may have spent the tokens
             # granted; from the grant the caller decides whether to ask again.
             return _customer_reply(pending.reply, customer)
-        reply = asker.OwnerReply(False, {})
+        reply = creditclient.OwnerReply(False, {})
         try:
             reply = self._send(page, failure_domain, pending)
         finally:
@@ -146,32 +146,34 @@
             if demand is None:
                 return 0.0
             rate_per_s = demand.rate_per_s(self._clock.monotonic_s())
-            count = rate_per_s * owner.AHEAD_S
+            count = rate_per_s * ownedpart.PREFETCH_S
             # Less than one token admits no request and would lie idle here.
             return count if count >= 1 else 0.0
 
-    def _coalescer(self, page: int, failure_domain: str) -> asker.Coalescer:
+    def _coalescer(
+        self, page: int, failure_domain: str
+    ) -> creditclient.Coalescer:
         with self._lock:
             return self._coalescers.setdefault(
-                (page, failure_domain), asker.Coalescer()
+                (page, failure_domain), creditclient.Coalescer()
             )
 
     def _send(
         self,
         page: int,
         failure_domain: str,
-        pending: asker.PendingAsk,
+        pending: creditclient.PendingAsk,
         returned: dict[str, float] | None = None,
-    ) -> asker.OwnerReply:
+    ) -> creditclient.OwnerReply:
         part = self._book.part(page, failure_domain)
         if part is None or not part.vm:
-            return asker.OwnerReply(False, {})
+            return creditclient.OwnerReply(False, {})
         source = credit.Source(failure_domain, part.epoch)
         wants, drop_count = self._build_wants(
             page, source, pending, returned or {}
         )
         if not wants:
-            return asker.OwnerReply(True, {})
+            return creditclient.OwnerReply(True, {})
         reply = self._sender.send(part.vm, page, source, wants)
         self._apply_grants(page, source, wants, drop_count, reply)
         return reply
@@ -180,24 +182,24 @@
         self,
         page: int,
         source: credit.Source,
-        pending: asker.PendingAsk,
+        pending: creditclient.PendingAsk,
         returned: dict[str, float],
     ) -> tuple[tuple[credit.Want, ...], int]:
         with self._lock:
             names = set(pending.wants) | set(returned)
             for name, wallet in self._by_page.get(page, {}).items():
-                if wallet.is_stale(source):
+                if wallet.needs_report(source):
                     names.add(name)
             wants = []
             for name in sorted(names):
                 wallet = self._wallet(page, name)
-                wallet.is_tight = False
+                wallet.needs_prompt_report = False
                 want = credit.Want(
                     name,
-                    credit.compact(wallet.declare(source)),
-                    credit.compact(pending.needs.get(name, 0)),
-                    credit.compact(pending.wants.get(name, 0)),
-                    credit.compact(returned.get(name, 0)),
+                    credit.int_if_whole(wallet.take_report(source)),
+                    credit.int_if_whole(pending.needs.get(name, 0)),
+                    credit.int_if_whole(pending.wants.get(name, 0)),
+                    credit.int_if_whole(returned.get(name, 0)),
                 )
                 wants.append(want)
             return tuple(wants), self._drop_counts.get(page, 0)
@@ -217,7 +219,7 @@
         source: credit.Source,
         wants: tuple[credit.Want, ...],
         drop_count: int,
-        reply: asker.OwnerReply,
+        reply: creditclient.OwnerReply,
     ) -> None:
         with self._lock:
             for want in wants:
@@ -227,13 +229,13 @@
                     # The owner may have granted tokens in an answer that
                     # was lost. They are never used, and the next message
                     # reports to the owner how many are really held.
-                    wallet.distrust(source)
+                    wallet.mark_report_unknown(source)
                     continue
                 if (
                     self._is_closed
                     or self._drop_counts.get(page, 0) != drop_count
                 ):
-                    wallet.distrust(source)
+                    wallet.mark_report_unknown(source)
                     continue
                 row = self._row_of(want.customer)
                 if row is None or grant.granted <= 0:
@@ -242,10 +244,10 @@
                 if factor < 1:
                     # The owner has an older row with a higher burst and
                     # counts more tokens as held.
-                    wallet.distrust(source)
+                    wallet.mark_report_unknown(source)
                 wallet.add(source, grant.granted * factor)
                 wallet.touched_s = self._clock.monotonic_s()
-                wallet.is_tight = grant.tight
+                wallet.needs_prompt_report = grant.needs_prompt_report
 
     def apply_rows(self) -> None:
         """Scales down the credit of each customer whose burst was lowered."""
@@ -264,34 +266,34 @@
             for wallet in self._by_page.get(page, {}).values():
                 wallet.drop_all()
 
-    def report(self, only_tight: bool) -> None:
+    def report(self, only_prompt: bool) -> None:
         """Returns idle credit and reports spent credit to the owners.
 
         Args:
-            only_tight: Whether to report only for customers whose owner
+            only_prompt: Whether to report only for customers whose owner
                 requested early reports.
         """
         for (page, failure_domain), returned in self._due_reports(
-            only_tight
+            only_prompt
         ).items():
             coalescer = self._coalescer(page, failure_domain)
             pending = coalescer.enter()
-            reply = asker.OwnerReply(False, {})
+            reply = creditclient.OwnerReply(False, {})
             try:
                 reply = self._send(page, failure_domain, pending, returned)
             finally:
                 coalescer.finish(pending, reply)
 
     def _due_reports(
-        self, only_tight: bool
+        self, only_prompt: bool
     ) -> dict[tuple[int, str], dict[str, float]]:
         due: dict[tuple[int, str], dict[str, float]] = {}
         now_s = self._clock.monotonic_s()
         with self._lock:
             for name, wallet in list(self._wallets.items()):
-                if only_tight and not wallet.is_tight:
+                if only_prompt and not wallet.needs_prompt_report:
                     continue
-                page = shares.page_of(name)
+                page = limitrecords.page_of(name)
                 is_idle = now_s - wallet.touched_s > IDLE_TIMEOUT_S
                 if is_idle and not wallet.sources():
                     self._delete_wallet(page, name)
@@ -303,8 +305,8 @@
                         continue
                     # The tokens leave the wallet before the message is sent:
                     # a lost message loses them, but they never exist twice.
-                    returned = wallet.give_up(source) if is_idle else 0.0
-                    if returned or wallet.is_stale(source):
+                    returned = wallet.empty_source(source) if is_idle else 0.0
+                    if returned or wallet.needs_report(source):
                         key = (page, source.failure_domain)
                         due.setdefault(key, {})[name] = returned
         return due
@@ -320,7 +322,7 @@
             self._is_closed = True
             for wallet in self._wallets.values():
                 wallet.touched_s = -IDLE_TIMEOUT_S
-        self.report(only_tight=False)
+        self.report(only_prompt=False)
 
     def dump(self) -> dict[str, float]:
         """Returns the tokens held, by customer."""
@@ -332,5 +334,7 @@
             }
 
 
-def _customer_reply(reply: asker.OwnerReply, customer: str) -> CustomerReply:
+def _customer_reply(
+    reply: creditclient.OwnerReply, customer: str
+) -> CustomerReply:
     return CustomerReply(reply.is_answered, reply.grants.get(customer))
--- a/packages/daemon/bulrushdeald/holders.py
+++ b/packages/daemon/bulrushdeald/holdertable.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
 
 
-class HolderName(NamedTuple):
+class HolderId(NamedTuple):
     """Identifies a holder: a VM, or the owner of a part that borrowed.
 
     Attributes:
@@ -39,16 +39,16 @@
 class Holders:
     """The holders of one part; guarded by the part's lock."""
 
-    def __init__(self, forget_credit: Callable[[HolderName], None]) -> None:
+    def __init__(self, forget_credit: Callable[[HolderId], None]) -> None:
         """Makes an empty table.
 
         Args:
             forget_credit: Called when a holder's credit can no longer be spent.
         """
         self._forget_credit = forget_credit
-        self._holders: dict[HolderName, _HolderState] = {}
+        self._holders: dict[HolderId, _HolderState] = {}
 
-    def accept(self, name: HolderName, incarnation: str, seq: int) -> bool:
+    def accept(self, name: HolderId, incarnation: str, seq: int) -> bool:
         """Records a message and returns whether it is its holder's newest.
 
         The first message of a new process clears the old process's credit.
@@ -72,7 +72,9 @@
         holder.seq = seq
         return True
 
-    def sweep(self, is_gone: Callable[[str], bool], page: shares.Page) -> None:
+    def reclaim(
+        self, is_gone: Callable[[str], bool], page: limitrecords.Page
+    ) -> None:
         """Reclaims the credit of holders that can no longer spend it.
 
         Args:
@@ -89,7 +91,7 @@
                 del self._holders[name]
 
 
-def _is_cleared(name: HolderName, page: shares.Page) -> bool:
+def _is_cleared(name: HolderId, page: limitrecords.Page) -> bool:
     # Tokens that an owner borrowed and granted may remain with its holders
     # after it is lost, and no bound on its own part covers them. They are gone
     # only when a later owner has had every listed VM confirm the drop.
--- a/packages/daemon/bulrushdeald/sharefeed.py
+++ b/packages/daemon/bulrushdeald/limitrecordfetch.py
@@ -12,8 +12,8 @@
 
 import result
 
+from bulrushdeald import limitrecordstore
 from bulrushdeald import services
-from bulrushdeald import sharebook
 
 _MAX_VMS_ASKED = 3
 _CALL_TIMEOUT_S = 1.0
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        book: sharebook.ShareBook,
+        book: limitrecordstore.ShareBook,
         peers: services.Peers,
         members: services.Membership,
     ) -> None:
@@ -48,7 +48,7 @@
         peers.register_answers(ShareRecords)
         peers.register_handler(ShareQuery, self._answer)
 
-    def ask(self) -> None:
+    def fetch(self) -> None:
         """Stores the records of the first VM asked that has any.
 
         At most `_MAX_VMS_ASKED` other VMs are asked, in random order.
--- a/packages/daemon/bulrushdeald/shares.py
+++ b/packages/daemon/bulrushdeald/limitrecords.py
@@ -132,7 +132,7 @@
     return min(capacity, most)
 
 
-def capacity(burst: float, takeovers: int) -> float:
+def remaining_capacity(burst: float, takeovers: int) -> float:
     """Returns the tokens of a part less credit its owner has no record of.
 
     Each lost owner may have lent `lendable` of its own capacity to holders.
--- a/packages/daemon/bulrushdeald/sharebook.py
+++ b/packages/daemon/bulrushdeald/limitrecordstore.py
@@ -6,8 +6,8 @@
 import result
 
 from bulrushdeal import logs
+from bulrushdeald import limitrecords
 from bulrushdeald import services
-from bulrushdeald import shares
 
 _log = logs.Log("limits")
 
@@ -15,10 +15,10 @@
 Written = Literal["yes", "no", "unknown"]
 
 
-class Stored(NamedTuple):
+class StoredPage(NamedTuple):
     """A record and its revision."""
 
-    page: shares.Page
+    page: limitrecords.Page
     revision: int
 
 
@@ -35,29 +35,29 @@
     def __init__(self, keyvalue: services.KeyValue) -> None:
         self._keyvalue = keyvalue
         self._lock = threading.Lock()
-        self._stored: dict[int, Stored] = {}
+        self._stored: dict[int, StoredPage] = {}
         self.is_loaded = False
 
-    def get(self, page: int) -> Stored | None:
+    def get(self, page: int) -> StoredPage | None:
         """Returns a page's record; `None` if there is none."""
         with self._lock:
             return self._stored.get(page)
 
-    def part(self, page: int, failure_domain: str) -> shares.Part | None:
+    def part(self, page: int, failure_domain: str) -> limitrecords.Part | None:
         """Returns one part of a page; `None` if there is none."""
         stored = self.get(page)
         return None if stored is None else stored.page.part(failure_domain)
 
     def refresh(self) -> bool:
         """Reads all records; returns whether the platform answered."""
-        entries = self._keyvalue.list(shares.PREFIX)
+        entries = self._keyvalue.list(limitrecords.PREFIX)
         if isinstance(entries, result.Err):
             return False
         self.merge(entries.ok_value)
         self.is_loaded = True
         return True
 
-    def follow(self, timeout_s: float) -> bool:
+    def watch(self, timeout_s: float) -> bool:
         """Waits for changes and applies them.
 
         Args:
@@ -70,7 +70,7 @@
             return self.refresh()
         with self._lock:
             newest = max((s.revision for s in self._stored.values()), default=0)
-        entries = self._keyvalue.watch(shares.PREFIX, newest, timeout_s)
+        entries = self._keyvalue.watch(limitrecords.PREFIX, newest, timeout_s)
         if isinstance(entries, result.Err):
             # Changes may have been missed. Reading all records also shows
             # whether a write that got no answer took effect.
@@ -78,7 +78,9 @@
         self.merge(entries.ok_value)
         return True
 
-    def put(self, number: int, page: shares.Page, revision: int) -> Written:
+    def put(
+        self, number: int, page: limitrecords.Page, revision: int
+    ) -> Written:
         """Writes a page's record if its revision is unchanged.
 
         Args:
@@ -90,10 +92,12 @@
             Whether it was written. If that is unknown, the next read shows
             what the record contains.
         """
-        value = shares.to_bytes(page)
-        written = self._keyvalue.put(shares.key_of(number), value, revision)
+        value = limitrecords.to_bytes(page)
+        written = self._keyvalue.put(
+            limitrecords.key_of(number), value, revision
+        )
         if isinstance(written, result.Ok):
-            self._store_if_newer(number, Stored(page, written.ok_value))
+            self._store_if_newer(number, StoredPage(page, written.ok_value))
             return "yes"
         error = written.err_value
         if error.kind == "conflict" and error.current is not None:
@@ -115,7 +119,7 @@
             part is not None and bool(part.vm)
             for part in (
                 self.part(number, failure_domain)
-                for number in range(shares.PAGES)
+                for number in range(limitrecords.PAGES)
             )
         )
 
@@ -124,8 +128,8 @@
         with self._lock:
             return tuple(
                 services.Entry(
-                    shares.key_of(number),
-                    shares.to_bytes(stored.page),
+                    limitrecords.key_of(number),
+                    limitrecords.to_bytes(stored.page),
                     stored.revision,
                 )
                 for number, stored in sorted(self._stored.items())
@@ -138,17 +142,17 @@
         """
         for entry in entries:
             try:
-                number = shares.page_of_key(entry.key)
+                number = limitrecords.page_of_key(entry.key)
                 before = self.get(number)
                 if before is not None and before.revision >= entry.revision:
                     continue
-                page = shares.from_bytes(entry.value)
-            except (shares.ShareError, ValueError) as error:
+                page = limitrecords.from_bytes(entry.value)
+            except (limitrecords.ShareError, ValueError) as error:
                 _log.error("Record %s is unreadable: %s", entry.key, error)
                 continue
-            self._store_if_newer(number, Stored(page, entry.revision))
+            self._store_if_newer(number, StoredPage(page, entry.revision))
 
-    def _store_if_newer(self, number: int, stored: Stored) -> None:
+    def _store_if_newer(self, number: int, stored: StoredPage) -> None:
         with self._lock:
             before = self._stored.get(number)
             # Answers may arrive out of order; an older revision must not
--- a/packages/daemon/bulrushdeald/limits.py
+++ b/packages/daemon/bulrushdeald/limits.py
@@ -20,22 +20,22 @@
 from bulrushdeal import logs
 from bulrushdeal import records
 from bulrushdeald import admission
-from bulrushdeald import asker
 from bulrushdeald import collector
 from bulrushdeald import credit
+from bulrushdeald import creditclient
+from bulrushdeald import creditholder
 from bulrushdeald import defaults
-from bulrushdeald import holder
+from bulrushdeald import limitrecordfetch
+from bulrushdeald import limitrecords
+from bulrushdeald import limitrecordstore
 from bulrushdeald import ownership
 from bulrushdeald import pagerows
 from bulrushdeald import rebalance
 from bulrushdeald import services
-from bulrushdeald import sharebook
-from bulrushdeald import sharefeed
-from bulrushdeald import shares
 
 _log = logs.Log("limits")
 
-TEND_INTERVAL_S = 1.0
+MAINTENANCE_INTERVAL_S = 1.0
 REPORT_INTERVAL_S = 0.1
 _WATCH_TIMEOUT_S = 20.0
 # Every VM watches the records, and each change ends all watches. The pause
@@ -45,8 +45,8 @@
 _MIN_WATCH_PAUSE_S = 0.5
 _WATCH_RETRY_S = 1.0
 _PEER_QUERY_INTERVAL_S = 0.3
-# How often the tend thread checks whether the records have been read for the
-# first time; a check only reads a flag.
+# How often the maintenance thread checks whether the records have been read
+# for the first time; a check only reads a flag.
 _LOAD_POLL_S = 0.05
 # A starting VM reports ready after this time even if some part of its failure
 # domain has no owner yet: the platform may be unavailable.
@@ -64,7 +64,7 @@
     """
 
     page: int
-    part: shares.Part
+    part: limitrecords.Part
     customers: dict[str, tuple[float, float, float]]
 
 
@@ -112,10 +112,10 @@
         self._config = kernel.find(services.CONFIG, services.Config)
         clock = self._clock
         self._members = members
-        self._book = sharebook.ShareBook(keyvalue)
-        self._feed = sharefeed.ShareFeed(self._book, peers, members)
-        sender = asker.Sender(peers, clock, members.incarnation())
-        self._holder = holder.Holder(
+        self._book = limitrecordstore.ShareBook(keyvalue)
+        self._feed = limitrecordfetch.ShareFeed(self._book, peers, members)
+        sender = creditclient.Sender(peers, clock, members.incarnation())
+        self._holder = creditholder.Holder(
             self._book, sender, clock, self._config.customer
         )
         self._collector = collector.Collector(self._book, sender)
@@ -149,7 +149,7 @@
         self.attach()
         self._start_thread("limits-watch", self._watch)
         self._start_thread("limits-feed", self._query_peers_until_loaded)
-        self._start_thread("limits-tend", self._tend_loop)
+        self._start_thread("limits-tend", self._maintenance_loop)
         self._start_thread("limits-report", self._report_loop)
         self._start_thread("limits-collect", self._collect_loop)
 
@@ -173,7 +173,8 @@
             for part in self._ownership.owned()
         )
         pages = sum(
-            self._book.get(number) is not None for number in range(shares.PAGES)
+            self._book.get(number) is not None
+            for number in range(limitrecords.PAGES)
         )
         return Dump(owned, self._holder.dump(), pages)
 
@@ -181,7 +182,9 @@
         self, row: records.Customer
     ) -> records.InitialTokens | None:
         """See `services.Limits`."""
-        parts = self._ownership.parts(shares.page_of(row.customer))
+        parts = self._ownership.parts_or_create(
+            limitrecords.page_of(row.customer)
+        )
         if not parts:
             return None
         # The next owner of a part without one has the next epoch, and only
@@ -209,7 +212,7 @@
         if owned is None or self._ownership.is_gone(vm):
             return credit.CreditGrants(False)
         grants = owned.answer(vm, ask)
-        if any(grant.again_s > 0 for grant in grants.grants):
+        if any(grant.retry_after_s > 0 for grant in grants.grants):
             self._collection_due.set()
         return grants
 
@@ -219,8 +222,8 @@
         del vm
         self._holder.drop_page(drop.page)
         is_clean = True
-        for owned in self._ownership.of_page(drop.page):
-            if not owned.void(drop.failure_domain, drop.epoch):
+        for owned in self._ownership.owned_parts_of_page(drop.page):
+            if not owned.write_off(drop.failure_domain, drop.epoch):
                 is_clean = False
         return credit.CreditDropped(is_clean)
 
@@ -235,43 +238,43 @@
         are requested from peers.
         """
         if not self._book.refresh() and self._book.is_empty():
-            self._feed.ask()
-        self._ownership.adopt()
+            self._feed.fetch()
+        self._ownership.apply_records()
 
-    def tend(self) -> None:
+    def run_maintenance(self) -> None:
         """Runs one pass of the periodic maintenance, due each second.
 
         Claims vacant parts, reclaims credit of lost holders, settles debts,
         rebalances fractions, returns idle credit, and asks all VMs to drop
         the credit of lost owners.
         """
-        self._ownership.adopt()
+        self._ownership.apply_records()
         self._ownership.claim()
-        self._ownership.adopt()
+        self._ownership.apply_records()
         self._ownership.sweep()
         for owned in self._ownership.owned():
             self._collector.settle(owned)
             self._rebalancer.move(owned)
         self._holder.announce(self._domain)
-        self._holder.report(only_tight=False)
-        self._ownership.clear()
-        self._ownership.adopt()
+        self._holder.report(only_prompt=False)
+        self._ownership.clear_takeovers()
+        self._ownership.apply_records()
 
-    def work(self) -> None:
+    def run_urgent_tasks(self) -> None:
         """Collects tokens for short parts, then runs the urgent tasks."""
         for owned in self._ownership.owned():
             self._collector.collect(owned)
-        self._run_urgent_tasks()
+        self._balance_and_report()
 
-    def _run_urgent_tasks(self) -> None:
+    def _balance_and_report(self) -> None:
         """Balances low buckets, repays loans and sends early reports."""
         for owned in self._ownership.owned():
             self._collector.balance(owned)
-            if owned.can_repay():
+            if owned.has_repayable_debt():
                 # Until the loan is repaid, the lender can grant that much
                 # less to others.
                 self._collector.settle(owned)
-        self._holder.report(only_tight=True)
+        self._holder.report(only_prompt=True)
 
     def _query_peers_until_loaded(self) -> None:
         """Queries peers for the records until some record is known.
@@ -280,7 +283,7 @@
         an outage of the platform shows only after calls time out.
         """
         while self._book.is_empty() and not self._stopping.is_set():
-            self._feed.ask()
+            self._feed.fetch()
             self._stopping.wait(_PEER_QUERY_INTERVAL_S)
 
     def is_ready(self) -> bool:
@@ -307,22 +310,22 @@
     def _watch(self) -> None:
         while not self._stopping.is_set():
             pause_s = _watch_pause_s(len(self._members.entry_vms()))
-            if not self._book.follow(_WATCH_TIMEOUT_S):
+            if not self._book.watch(_WATCH_TIMEOUT_S):
                 pause_s = max(pause_s, _WATCH_RETRY_S)
             self._stopping.wait(pause_s)
 
-    def _tend_loop(self) -> None:
-        polls_left = int(TEND_INTERVAL_S / _LOAD_POLL_S)
+    def _maintenance_loop(self) -> None:
+        polls_left = int(MAINTENANCE_INTERVAL_S / _LOAD_POLL_S)
         while polls_left and not self._book.is_loaded:
             self._stopping.wait(_LOAD_POLL_S)
             polls_left -= 1
         while not self._stopping.is_set():
-            self._run_guarded(self.tend)
-            self._stopping.wait(TEND_INTERVAL_S)
+            self._run_guarded(self.run_maintenance)
+            self._stopping.wait(MAINTENANCE_INTERVAL_S)
 
     def _report_loop(self) -> None:
         while not self._stopping.wait(REPORT_INTERVAL_S):
-            self._run_guarded(self._run_urgent_tasks)
+            self._run_guarded(self._balance_and_report)
 
     def _collect_loop(self) -> None:
         while not self._stopping.is_set():
--- a/packages/daemon/bulrushdeald/owner.py
+++ b/packages/daemon/bulrushdeald/ownedpart.py
@@ -11,21 +11,21 @@
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
-from bulrushdeald import bucket
 from bulrushdeald import credit
-from bulrushdeald import holders
-from bulrushdeald import shares
+from bulrushdeald import holdertable
+from bulrushdeald import limitrecords
 from bulrushdeald import shortage
+from bulrushdeald import tokenledger
 
 # A holder prefetches credit for the expected demand of this many seconds.
-AHEAD_S = 0.2
+PREFETCH_S = 0.2
 # An owner that has lent more than this fraction of its capacity asks its
 # holders for prompt reports: its bucket cannot refill until it learns what
 # they have spent.
-_TIGHT_FRACTION = 0.2
+_PROMPT_REPORT_FRACTION = 0.2
 # A part with a lower rate loses too few tokens by a late report to be worth
 # a message.
-_TIGHT_MIN_RATE_PER_S = 0.25
+_PROMPT_REPORT_MIN_RATE_PER_S = 0.25
 _EPSILON = 1e-9
 
 
@@ -59,9 +59,9 @@
         is_closed: Whether this VM has stopped granting from the part.
         fraction_cap: The fraction of each row that this part uses; below
             `part.fraction` while a move to another part is being written.
-        drops: The number of calls of `void`. A grant that was requested
-            before the latest call may come from an owner that is gone, so
-            `receive` discards it.
+        drop_count: The number of calls of `write_off`. A grant that was
+            requested before the latest call may come from an owner that is
+            gone, so `receive` discards it.
         last_lender: By customer, the failure domain whose part met its last
             shortage; guarded by `exchange`.
         exchange: Held while this part exchanges tokens with another owner,
@@ -71,7 +71,7 @@
     def __init__(
         self,
         page: int,
-        part: shares.Part,
+        part: limitrecords.Part,
         clock: clock_lib.Clock,
         initial_tokens_of: InitialTokensOf = _no_initial_tokens,
     ) -> None:
@@ -83,14 +83,14 @@
         self._initial_tokens_of = initial_tokens_of
         self._lock = threading.Lock()
         self._rows: Mapping[str, records.Customer] = {}
-        self._ledgers: dict[str, bucket.Ledger] = {}
-        self._demands: dict[str, bucket.Demand] = {}
-        self._holders = holders.Holders(self._clear_outstanding)
+        self._ledgers: dict[str, tokenledger.Ledger] = {}
+        self._demands: dict[str, tokenledger.Demand] = {}
+        self._holders = holdertable.Holders(self._clear_outstanding)
         self._shortages = shortage.Shortages()
         # By lender, the customers for which it may count more tokens as lent
         # than this part owes.
         self._unsettled: dict[credit.Source, set[str]] = {}
-        self.drops = 0
+        self.drop_count = 0
         # The revision of the record that an unfinished move of fractions
         # replaces; 0 if there is none.
         self._move_base_revision = 0
@@ -105,7 +105,7 @@
         """The source that identifies credit granted by this part."""
         return credit.Source(self.part.failure_domain, self.part.epoch)
 
-    def set_part(self, part: shares.Part) -> None:
+    def apply_part(self, part: limitrecords.Part) -> None:
         """Applies a newer record of the same epoch."""
         with self._lock:
             if part.fraction != self.part.fraction:
@@ -129,10 +129,10 @@
         with self._lock:
             scale = fraction / self.part.fraction
             for ledger in self._ledgers.values():
-                least = shares.capacity(
+                least = limitrecords.remaining_capacity(
                     ledger.terms.burst * scale, self.part.takeovers
                 )
-                if ledger.lent > shares.lendable(least):
+                if ledger.lent > limitrecords.lendable(least):
                     return False
             self.fraction_cap = fraction
             self._move_base_revision = revision
@@ -144,7 +144,7 @@
         with self._lock:
             return self._move_base_revision == revision
 
-    def end_move(self) -> None:
+    def abandon_move(self) -> None:
         """Abandons an unfinished move, if any, and restores the fraction."""
         with self._lock:
             if self._move_base_revision:
@@ -170,7 +170,7 @@
         before = self._net_outflows.get(failure_domain, 0.0)
         self._net_outflows[failure_domain] = before + count
 
-    def set_rows(self, rows: Mapping[str, records.Customer]) -> None:
+    def apply_rows(self, rows: Mapping[str, records.Customer]) -> None:
         """Applies the page's customer rows."""
         with self._lock:
             for name, row in rows.items():
@@ -195,7 +195,7 @@
             terms = self._terms(self._rows.get(name))
             ledger = self._ledgers.get(name)
             if ledger is None:
-                ledger = self._ledgers[name] = bucket.Ledger(terms, now_s)
+                ledger = self._ledgers[name] = tokenledger.Ledger(terms, now_s)
                 ledger.fill(self._starting_tokens(name))
             elif ledger.terms != terms:
                 ledger.change(terms, now_s)
@@ -222,11 +222,11 @@
                 return part.fraction * min(initial_tokens.burst, row.burst)
         return 0.0
 
-    def _terms(self, row: records.Customer | None) -> bucket.Terms:
+    def _terms(self, row: records.Customer | None) -> tokenledger.Terms:
         if row is None:
-            return bucket.Terms(0.0, 0.0)
+            return tokenledger.Terms(0.0, 0.0)
         fraction = self.fraction_cap
-        return bucket.Terms(
+        return tokenledger.Terms(
             fraction * row.rate_per_s,
             fraction * row.burst,
             self.part.takeovers,
@@ -237,14 +237,14 @@
         with self._lock:
             if self.is_closed or ask.epoch != self.part.epoch:
                 return credit.CreditGrants(False)
-            name = holders.HolderName(vm, ask.for_domain, ask.for_epoch)
+            name = holdertable.HolderId(vm, ask.for_domain, ask.for_epoch)
             if not self._holders.accept(name, ask.incarnation, ask.seq):
                 return credit.CreditGrants(False)
             grants = [self._grant(name, want) for want in ask.wants]
             return credit.CreditGrants(True, tuple(grants))
 
     def _grant(
-        self, name: holders.HolderName, want: credit.Want
+        self, name: holdertable.HolderId, want: credit.Want
     ) -> credit.Grant:
         row = self._rows.get(want.customer)
         ledger = self._ledgers.get(want.customer)
@@ -254,10 +254,10 @@
         ledger.accrue(now_s)
         ledger.report(name, want.held, want.returned)
         if want.want <= 0:
-            return credit.Grant(0, credit.compact(row.burst))
+            return credit.Grant(0, credit.int_if_whole(row.burst))
         if name.for_domain:
             return self._transfer(name, want, row, ledger)
-        demand = self._demands.setdefault(want.customer, bucket.Demand())
+        demand = self._demands.setdefault(want.customer, tokenledger.Demand())
         demand.note(want.need, now_s)
         # At most half of what remains is granted in advance; the rest stays
         # for the other holders.
@@ -265,33 +265,33 @@
         most = max(want.need, min(want.want, want.need + spare))
         granted = ledger.grant(name, want.need, most)
         left = ledger.grantable()
-        again_s = 0.0
+        retry_after_s = 0.0
         wait_s = 0.0
         if granted <= 0:
             wait_s = (want.need - left) / (row.rate_per_s or _EPSILON)
-            again_s = self._shortages.add_missing(
+            retry_after_s = self._shortages.add_missing(
                 want.customer, want.need - left, now_s
             )
         room_fraction = ledger.room / max(ledger.capacity, _EPSILON)
         self._shortages.note_room(row, room_fraction, now_s)
-        tight = (
-            ledger.lent > _TIGHT_FRACTION * ledger.capacity
-            and ledger.terms.rate_per_s > _TIGHT_MIN_RATE_PER_S
+        needs_prompt_report = (
+            ledger.lent > _PROMPT_REPORT_FRACTION * ledger.capacity
+            and ledger.terms.rate_per_s > _PROMPT_REPORT_MIN_RATE_PER_S
         )
         return credit.Grant(
-            credit.compact(granted),
-            credit.compact(row.burst),
-            again_s,
+            credit.int_if_whole(granted),
+            credit.int_if_whole(row.burst),
+            retry_after_s,
             wait_s,
-            tight,
+            needs_prompt_report,
         )
 
     def _transfer(
         self,
-        name: holders.HolderName,
+        name: holdertable.HolderId,
         want: credit.Want,
         row: records.Customer,
-        ledger: bucket.Ledger,
+        ledger: tokenledger.Ledger,
     ) -> credit.Grant:
         # Moves what a waiting request lacks, or enough to leave equal room
         # in both parts: a full part loses the tokens that its rate adds.
@@ -299,19 +299,21 @@
         most = min(want.want, max(want.need, equalizing))
         moved = ledger.transfer(name, most, want.reserved)
         self._add_outflow(name.for_domain, moved)
-        return credit.Grant(credit.compact(moved), credit.compact(row.burst))
+        return credit.Grant(
+            credit.int_if_whole(moved), credit.int_if_whole(row.burst)
+        )
 
-    def shortages(self) -> tuple[shortage.Shortage, ...]:
+    def begin_collection(self) -> tuple[shortage.Shortage, ...]:
         """Starts a collection; returns what waiting requests lack."""
         with self._lock:
             return self._shortages.begin_collection(self._clock.monotonic_s())
 
-    def collection_ended(self) -> None:
-        """Ends the collection that `shortages` started."""
+    def end_collection(self) -> None:
+        """Ends the collection that `begin_collection` started."""
         with self._lock:
             self._shortages.end_collection()
 
-    def collected(self, customer: str, asked: int) -> None:
+    def note_shortage_met(self, customer: str, asked: int) -> None:
         """Records that a collection met a customer's shortage.
 
         Args:
@@ -322,12 +324,12 @@
             burst = self._ledgers[customer].terms.burst
             self._shortages.note_met(customer, asked, burst)
 
-    def low(self) -> tuple[shortage.Shortage, ...]:
+    def take_low_customers(self) -> tuple[shortage.Shortage, ...]:
         """Returns customers with recent requests and a low level."""
         with self._lock:
             return self._shortages.take_low(self._clock.monotonic_s())
 
-    def want(
+    def prepare_want(
         self, source: credit.Source, lacking: shortage.Shortage
     ) -> credit.Want:
         """Returns a request to another part and reserves room for the answer.
@@ -343,10 +345,10 @@
             reserved = ledger.reserve()
             return credit.Want(
                 lacking.customer,
-                credit.compact(held),
-                credit.compact(lacking.missing),
-                credit.compact(max(lacking.missing, reserved)),
-                reserved=credit.compact(reserved),
+                credit.int_if_whole(held),
+                credit.int_if_whole(lacking.missing),
+                credit.int_if_whole(max(lacking.missing, reserved)),
+                reserved=credit.int_if_whole(reserved),
             )
 
     def receive(
@@ -354,7 +356,7 @@
         source: credit.Source,
         want: credit.Want,
         grant: credit.Grant | None,
-        drops: int,
+        drop_count: int,
     ) -> float:
         """Adds the tokens that another part granted.
 
@@ -362,8 +364,8 @@
             source: The other part.
             want: What was requested.
             grant: The other owner's answer; `None` if there was none.
-            drops: The value of `drops` when the request was sent. If it has
-                changed since, the grant is discarded.
+            drop_count: The value of `drop_count` when the request was sent. If
+                it has changed since, the grant is discarded.
 
         Returns:
             The tokens added, scaled down if this VM's row has a lower burst
@@ -373,7 +375,11 @@
             ledger = self._ledgers[want.customer]
             row = self._rows.get(want.customer)
             count = 0.0
-            if grant is not None and row is not None and drops == self.drops:
+            if (
+                grant is not None
+                and row is not None
+                and drop_count == self.drop_count
+            ):
                 factor = row.burst / grant.burst if grant.burst else 0.0
                 count = grant.granted * min(1.0, factor)
             ledger.receive(source, count, want.reserved)
@@ -386,7 +392,7 @@
                 self._unsettled.setdefault(source, set()).add(want.customer)
             return count
 
-    def owed(self, source: credit.Source, customer: str) -> float:
+    def repay(self, source: credit.Source, customer: str) -> float:
         """Repays a debt as far as possible; returns the tokens still owed."""
         with self._lock:
             ledger = self._ledgers.get(customer)
@@ -404,12 +410,12 @@
                     found.setdefault(source, set()).add(name)
             return found
 
-    def can_repay(self) -> bool:
+    def has_repayable_debt(self) -> bool:
         """Tells whether any debt can be lowered now."""
         with self._lock:
             return any(ledger.can_repay for ledger in self._ledgers.values())
 
-    def settled(self, source: credit.Source) -> None:
+    def mark_settled(self, source: credit.Source) -> None:
         """Records that a lender has received this part's current debts."""
         with self._lock:
             self._unsettled.pop(source, None)
@@ -427,7 +433,7 @@
                 return 0.0
             return self._ledgers[customer].give_back(source)
 
-    def void(self, failure_domain: str, epoch: int) -> bool:
+    def write_off(self, failure_domain: str, epoch: int) -> bool:
         """Writes off tokens borrowed from earlier epochs of another part.
 
         Args:
@@ -438,7 +444,7 @@
             Whether none of those tokens are left here or with holders.
         """
         with self._lock:
-            self.drops += 1
+            self.drop_count += 1
             left = 0.0
             for ledger in self._ledgers.values():
                 for source in list(ledger.debts):
@@ -446,15 +452,17 @@
                     if source.failure_domain != failure_domain:
                         continue
                     if source.epoch < epoch:
-                        left += ledger.void(source)
+                        left += ledger.write_off(source)
             return left <= _EPSILON
 
-    def sweep(self, is_gone: Callable[[str], bool], page: shares.Page) -> None:
+    def sweep(
+        self, is_gone: Callable[[str], bool], page: limitrecords.Page
+    ) -> None:
         """Stops counting the credit of holders that are certainly gone."""
         with self._lock:
-            self._holders.sweep(is_gone, page)
+            self._holders.reclaim(is_gone, page)
 
-    def _clear_outstanding(self, name: holders.HolderName) -> None:
+    def _clear_outstanding(self, name: holdertable.HolderId) -> None:
         for ledger in self._ledgers.values():
             ledger.outstanding.pop(name, None)
 
--- a/packages/daemon/bulrushdeald/ownership.py
+++ b/packages/daemon/bulrushdeald/ownership.py
@@ -11,11 +11,11 @@
 from bulrushdeal import logs
 from bulrushdeal import records
 from bulrushdeald import credit
-from bulrushdeald import owner
+from bulrushdeald import limitrecords
+from bulrushdeald import limitrecordstore
+from bulrushdeald import ownedpart
 from bulrushdeald import pagerows
 from bulrushdeald import services
-from bulrushdeald import sharebook
-from bulrushdeald import shares
 
 _log = logs.Log("limits")
 
@@ -32,7 +32,7 @@
     """A part that has no running owner, and its page."""
 
     page: int
-    part: shares.Part
+    part: limitrecords.Part
 
 
 class Ownership:
@@ -43,12 +43,12 @@
 
     def __init__(
         self,
-        book: sharebook.ShareBook,
+        book: limitrecordstore.ShareBook,
         membership: services.Membership,
         peers: services.Peers,
         clock: clock_lib.Clock,
         rows: pagerows.PageRows,
-        initial_tokens_of: owner.InitialTokensOf,
+        initial_tokens_of: ownedpart.InitialTokensOf,
     ) -> None:
         self._book = book
         self._membership = membership
@@ -60,7 +60,7 @@
         self._incarnation = membership.incarnation()
         self._nonces = itertools.count(1)
         self._lock = threading.Lock()
-        self._owned: dict[tuple[int, str], owner.OwnedPart] = {}
+        self._owned: dict[tuple[int, str], ownedpart.OwnedPart] = {}
         self._vacant_since_s: dict[Vacancy, float] = {}
         self._ever_listed: set[str] = set()
         self._last_unclean_vm: dict[tuple[int, str], str] = {}
@@ -68,8 +68,8 @@
         self._logged_part_count = 0
         # Each failure domain claims pages from a different first page, so
         # that domains that start together seldom write the same record.
-        first = shares.page_of(self._own.failure_domain)
-        pages = list(range(shares.PAGES))
+        first = limitrecords.page_of(self._own.failure_domain)
+        pages = list(range(limitrecords.PAGES))
         self._page_order = pages[first:] + pages[:first]
 
     @property
@@ -77,25 +77,27 @@
         """The failure domain of this VM."""
         return self._own.failure_domain
 
-    def owned(self) -> tuple[owner.OwnedPart, ...]:
+    def owned(self) -> tuple[ownedpart.OwnedPart, ...]:
         """Returns the parts that this VM owns."""
         with self._lock:
             return tuple(self._owned.values())
 
-    def find(self, page: int, failure_domain: str) -> owner.OwnedPart | None:
+    def find(
+        self, page: int, failure_domain: str
+    ) -> ownedpart.OwnedPart | None:
         """Returns a part if this VM owns it."""
         with self._lock:
             return self._owned.get((page, failure_domain))
 
-    def of_page(self, page: int) -> list[owner.OwnedPart]:
+    def owned_parts_of_page(self, page: int) -> list[ownedpart.OwnedPart]:
         """Returns this VM's parts of a page."""
         return [owned for owned in self.owned() if owned.page == page]
 
-    def adopt(self) -> None:
+    def apply_records(self) -> None:
         """Makes this VM own exactly the parts that the records give it."""
         if self._is_closed:
             return
-        for number in range(shares.PAGES):
+        for number in range(limitrecords.PAGES):
             stored = self._book.get(number)
             for part in stored.page.parts if stored else ():
                 self._apply_record(number, part)
@@ -104,7 +106,7 @@
             self._logged_part_count = parts
             _log.info("Owns %d parts.", parts)
 
-    def _apply_record(self, number: int, part: shares.Part) -> None:
+    def _apply_record(self, number: int, part: limitrecords.Part) -> None:
         key = (number, part.failure_domain)
         is_mine = (
             part.vm == self._own.vm and part.incarnation == self._incarnation
@@ -117,14 +119,16 @@
                     del self._owned[key]
             return
         if owned is None or owned.part.epoch < part.epoch:
-            owned = owner.OwnedPart(
+            owned = ownedpart.OwnedPart(
                 number, part, self._clock, self._initial_tokens_of
             )
-            self._rows.publish(owned, functools.partial(self._add_owned, owned))
+            self._rows.add_part(
+                owned, functools.partial(self._add_owned, owned)
+            )
         elif owned.part != part:
-            owned.set_part(part)
+            owned.apply_part(part)
 
-    def _add_owned(self, owned: owner.OwnedPart) -> None:
+    def _add_owned(self, owned: ownedpart.OwnedPart) -> None:
         part = owned.part
         with self._lock:
             self._owned[(owned.page, part.failure_domain)] = owned
@@ -159,13 +163,15 @@
         if all(part.failure_domain != own for part in parts):
             # The part of a new failure domain starts with no fraction of
             # its own and borrows all its tokens.
-            parts = (*parts, shares.Part(own, 0.0))
+            parts = (*parts, limitrecords.Part(own, 0.0))
         return [Vacancy(number, p) for p in parts if self._is_vacant(p)]
 
-    def _record_or_first(self, number: int) -> sharebook.Stored:
-        return self._book.get(number) or sharebook.Stored(self._first_page(), 0)
+    def _record_or_first(self, number: int) -> limitrecordstore.StoredPage:
+        return self._book.get(number) or limitrecordstore.StoredPage(
+            self._first_page(), 0
+        )
 
-    def _is_vacant(self, part: shares.Part) -> bool:
+    def _is_vacant(self, part: limitrecords.Part) -> bool:
         if part.vm == self._own.vm:
             # This process has bound the VM's peer port exclusively, so any
             # earlier process of the VM is gone.
@@ -189,7 +195,9 @@
         candidates = self._candidates(part.failure_domain)
         # VMs of other failure domains own the part of a domain without VMs.
         names = [vm.vm for vm in candidates or self._candidates("")]
-        order = shares.rank(f"{vacancy.page}/{part.failure_domain}", names)
+        order = limitrecords.rank(
+            f"{vacancy.page}/{part.failure_domain}", names
+        )
         if self._own.vm not in order:
             return False
         delay_s = order.index(self._own.vm) * CLAIM_STEP_S
@@ -197,11 +205,11 @@
             delay_s += MISSING_S
         return now_s - since_s >= delay_s
 
-    def _write_claim(self, vacancy: Vacancy) -> sharebook.Written:
+    def _write_claim(self, vacancy: Vacancy) -> limitrecordstore.Written:
         stored = self._record_or_first(vacancy.page)
         part = vacancy.part
         name = part.failure_domain
-        if (stored.page.part(name) or shares.Part(name, 0.0)) != part:
+        if (stored.page.part(name) or limitrecords.Part(name, 0.0)) != part:
             # The record or the list of VMs has changed since the part was
             # found vacant. Writing its old fraction beside the other parts'
             # new ones could make the fractions add up to more than 1.
@@ -216,15 +224,16 @@
         page = stored.page.with_part(mine, self.nonce())
         return self._book.put(vacancy.page, page, stored.revision)
 
-    def _first_page(self) -> shares.Page:
+    def _first_page(self) -> limitrecords.Page:
         domains = {vm.failure_domain for vm in self._candidates("")}
         domains.add(self._own.failure_domain)
         parts = tuple(
-            shares.Part(name, 1.0 / len(domains)) for name in sorted(domains)
+            limitrecords.Part(name, 1.0 / len(domains))
+            for name in sorted(domains)
         )
-        return shares.Page(parts)
+        return limitrecords.Page(parts)
 
-    def parts(self, number: int) -> tuple[shares.Part, ...]:
+    def parts_or_create(self, number: int) -> tuple[limitrecords.Part, ...]:
         """Returns a page's parts; creates its record if there is none.
 
         Returns:
@@ -261,7 +270,7 @@
             if stored is not None:
                 owned.sweep(self.is_gone, stored.page)
 
-    def clear(self) -> None:
+    def clear_takeovers(self) -> None:
         """Asks all VMs to drop the credit that lost owners granted.
 
         Once all have, the part counts no takeovers and has its full capacity.
@@ -270,7 +279,7 @@
             if owned.part.takeovers and self._is_dropped_everywhere(owned):
                 self._set_cleared(owned)
 
-    def _is_dropped_everywhere(self, owned: owner.OwnedPart) -> bool:
+    def _is_dropped_everywhere(self, owned: ownedpart.OwnedPart) -> bool:
         part = owned.part
         key = (owned.page, part.failure_domain)
         drop = credit.CreditDrop(owned.page, part.failure_domain, part.epoch)
@@ -287,7 +296,7 @@
                 return False
         return True
 
-    def _set_cleared(self, owned: owner.OwnedPart) -> None:
+    def _set_cleared(self, owned: ownedpart.OwnedPart) -> None:
         stored = self._book.get(owned.page)
         part = owned.part
         if stored is None or stored.page.part(part.failure_domain) != part:
--- a/packages/daemon/bulrushdeald/pagerows.py
+++ b/packages/daemon/bulrushdeald/pagerows.py
@@ -4,9 +4,9 @@
 import threading
 
 from bulrushdeal import records
-from bulrushdeald import owner
+from bulrushdeald import limitrecords
+from bulrushdeald import ownedpart
 from bulrushdeald import services
-from bulrushdeald import shares
 
 _Rows = dict[int, dict[str, records.Customer]]
 
@@ -26,8 +26,8 @@
         self._lock = threading.Lock()
         self._rows: _Rows | None = None
 
-    def publish(
-        self, part: owner.OwnedPart, publish: Callable[[], None]
+    def add_part(
+        self, part: ownedpart.OwnedPart, publish: Callable[[], None]
     ) -> None:
         """Gives a new part its rows and publishes it.
 
@@ -38,11 +38,11 @@
         with self._lock:
             if self._rows is None:
                 self._rows = self._read()
-            part.set_rows(self._rows.get(part.page, {}))
+            part.apply_rows(self._rows.get(part.page, {}))
             publish()
 
     def reload(
-        self, published: Callable[[], tuple[owner.OwnedPart, ...]]
+        self, published: Callable[[], tuple[ownedpart.OwnedPart, ...]]
     ) -> None:
         """Reads the rows again and gives them to all published parts.
 
@@ -52,11 +52,11 @@
         with self._lock:
             self._rows = self._read()
             for part in published():
-                part.set_rows(self._rows.get(part.page, {}))
+                part.apply_rows(self._rows.get(part.page, {}))
 
     def _read(self) -> _Rows:
         rows: _Rows = {}
         for row in self._config.customers():
-            page = rows.setdefault(shares.page_of(row.customer), {})
+            page = rows.setdefault(limitrecords.page_of(row.customer), {})
             page[row.customer] = row
         return rows
--- a/packages/daemon/bulrushdeald/rebalance.py
+++ b/packages/daemon/bulrushdeald/rebalance.py
@@ -9,13 +9,13 @@
 from typing import NamedTuple
 
 from bulrushdeal import clock as clock_lib
-from bulrushdeald import owner
-from bulrushdeald import sharebook
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
+from bulrushdeald import limitrecordstore
+from bulrushdeald import ownedpart
 
 # How often a part may move some of its fraction: with 1,024 parts that is at
 # most 34 writes per second.
-REBALANCE_S = 30.0
+REBALANCE_INTERVAL_S = 30.0
 # A smaller fraction of a page is not worth a write.
 _MIN_MOVE = 0.02
 _MAX_MOVE = 0.1
@@ -27,11 +27,13 @@
 class _Move(NamedTuple):
     """A fraction of a page to move, and the part that receives it."""
 
-    receiver: shares.Part
+    receiver: limitrecords.Part
     fraction: float
 
 
-def _floor_move(own: shares.Part, page: shares.Page) -> _Move | None:
+def _floor_move(
+    own: limitrecords.Part, page: limitrecords.Page
+) -> _Move | None:
     """Returns a move to a part below its floor from one above an even split.
 
     A new failure domain starts with a fraction of zero and depends on loans:
@@ -55,7 +57,7 @@
 
     def __init__(
         self,
-        book: sharebook.ShareBook,
+        book: limitrecordstore.ShareBook,
         clock: clock_lib.Clock,
         nonce: Callable[[], str],
     ) -> None:
@@ -64,7 +66,7 @@
         self._nonce = nonce
         self._due_s: dict[tuple[int, str], float] = {}
 
-    def move(self, owned: owner.OwnedPart) -> None:
+    def move(self, owned: ownedpart.OwnedPart) -> None:
         """Resolves a move whose write is unconfirmed, or begins one if due."""
         stored = self._book.get(owned.page)
         if stored is None or stored.page.part(owned.source[0]) != owned.part:
@@ -80,19 +82,21 @@
                 stored.revision,
             )
             return
-        owned.end_move()
+        owned.abandon_move()
         floor_move = _floor_move(owned.part, stored.page)
         if floor_move is not None:
             self._write(owned, stored, floor_move)
             return
         now_s = self._clock.monotonic_s()
         key = (owned.page, owned.part.failure_domain)
-        if now_s < self._due_s.setdefault(key, now_s + REBALANCE_S):
+        if now_s < self._due_s.setdefault(key, now_s + REBALANCE_INTERVAL_S):
             return
-        self._due_s[key] = now_s + REBALANCE_S
+        self._due_s[key] = now_s + REBALANCE_INTERVAL_S
         self._begin(owned, stored)
 
-    def _begin(self, owned: owner.OwnedPart, stored: sharebook.Stored) -> None:
+    def _begin(
+        self, owned: ownedpart.OwnedPart, stored: limitrecordstore.StoredPage
+    ) -> None:
         found = owned.greatest_outflow()
         receiver = stored.page.part(found.failure_domain)
         if receiver is None:
@@ -105,7 +109,10 @@
         self._write(owned, stored, _Move(receiver, moved))
 
     def _write(
-        self, owned: owner.OwnedPart, stored: sharebook.Stored, move: "_Move"
+        self,
+        owned: ownedpart.OwnedPart,
+        stored: limitrecordstore.StoredPage,
+        move: "_Move",
     ) -> None:
         receiver, moved = move
         lowered = owned.part._replace(fraction=owned.part.fraction - moved)
@@ -115,4 +122,4 @@
         nonce = self._nonce()
         page = stored.page.with_part(lowered, nonce).with_part(raised, nonce)
         if self._book.put(owned.page, page, stored.revision) == "no":
-            owned.end_move()
+            owned.abandon_move()
--- a/packages/daemon/bulrushdeald/bucket.py
+++ b/packages/daemon/bulrushdeald/tokenledger.py
@@ -17,7 +17,7 @@
 import math
 from typing import NamedTuple
 
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
 
 # A clock may run fast by a few hundred parts per million, and the bound is
 # over true time. Accruing more slowly by a larger factor keeps the bound.
@@ -32,7 +32,7 @@
     Attributes:
         rate_per_s: The part's share of the row's rate, in tokens/s.
         burst: The part's share of the row's burst, in tokens.
-        takeovers: See `shares.Part`.
+        takeovers: See `limitrecords.Part`.
     """
 
     rate_per_s: float
@@ -54,7 +54,9 @@
 
     def __init__(self, terms: Terms, now_s: float) -> None:
         self.terms = terms
-        self.capacity = shares.capacity(terms.burst, terms.takeovers)
+        self.capacity = limitrecords.remaining_capacity(
+            terms.burst, terms.takeovers
+        )
         # Starts empty, as an earlier owner may have granted the whole burst
         # just before. `fill` adds tokens that certainly nobody has granted.
         self.level = 0.0
@@ -84,7 +86,7 @@
         # Bounded so that the next owner of the part can allow for credit it
         # has no record of. Borrowed tokens may exceed the bound, since the
         # lenders count them as outstanding.
-        return shares.lendable(self.capacity) + self.borrowed - self.lent
+        return limitrecords.lendable(self.capacity) + self.borrowed - self.lent
 
     def accrue(self, now_s: float) -> None:
         """Adds the tokens accrued since the last call, up to the capacity."""
@@ -101,7 +103,9 @@
         """Applies new terms and drops available tokens beyond them."""
         self.accrue(now_s)
         self.terms = terms
-        self.capacity = shares.capacity(terms.burst, terms.takeovers)
+        self.capacity = limitrecords.remaining_capacity(
+            terms.burst, terms.takeovers
+        )
         self._drop_excess()
 
     def _drop_excess(self) -> None:
@@ -207,7 +211,7 @@
         self._set_debt(lender, left)
         return left
 
-    def void(self, lender: Hashable) -> float:
+    def write_off(self, lender: Hashable) -> float:
         """Writes off tokens borrowed from a lender that is gone.
 
         Returns:
--- a/packages/daemon/bulrushdeald/vmlist.py
+++ b/packages/daemon/bulrushdeald/vmlist.py
@@ -19,7 +19,7 @@
 from bulrushdeald import pages
 from bulrushdeald import peers as peers_lib
 from bulrushdeald import services
-from bulrushdeald import watchers
+from bulrushdeald import watcherchoice
 
 NAME = "vmlist"
 _PEER_TIMEOUT_S = 1.0
@@ -127,7 +127,7 @@
         return was_read or self._ask_seeds()
 
     def _sources(self) -> list[str]:
-        return watchers.choose(
+        return watcherchoice.choose_watchers(
             self._membership.entry_vms(),
             self._membership.own_vm().failure_domain,
         )
--- a/packages/daemon/bulrushdeald/watchers.py
+++ b/packages/daemon/bulrushdeald/watcherchoice.py
@@ -8,7 +8,9 @@
 PER_DOMAIN = 2
 
 
-def choose(rows: tuple[records.Vm, ...], failure_domain: str) -> list[str]:
+def choose_watchers(
+    rows: tuple[records.Vm, ...], failure_domain: str
+) -> list[str]:
     """Returns the names of a failure domain's watchers.
 
     The choice is by rendezvous hashing: most VMs keep their role when another
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -8,8 +8,8 @@
 
 from bench import limitfakes
 from bulrushdeal import records
-from bulrushdeald import asker
-from bulrushdeald import shares
+from bulrushdeald import creditclient
+from bulrushdeald import limitrecords
 from support import controlplane
 
 
@@ -43,7 +43,7 @@
     # Guards against refusing a customer whose burst is unused: its tokens are
     # spread over many parts, and an owner pauses its collections after asking
     # several parts without success.
-    monkeypatch.setattr(shares, "PAGES", 1)
+    monkeypatch.setattr(limitrecords, "PAGES", 1)
     fleet = _fleet(
         domains, 1, records.Customer("acme", rate_per_s=2, burst=burst)
     )
@@ -58,18 +58,20 @@
     # tokens for one; the other was refused instead of asking again, because
     # it did not receive the message's reply.
     joined: list[str] = []
-    add = asker.PendingAsk.add
+    add = creditclient.PendingAsk.add
 
     def add_and_note(
-        self: asker.PendingAsk, customer: str, need: float, want: float
+        self: creditclient.PendingAsk, customer: str, need: float, want: float
     ) -> None:
         add(self, customer, need, want)
         joined.append(customer)
 
-    monkeypatch.setattr(asker.PendingAsk, "add", add_and_note)
+    monkeypatch.setattr(creditclient.PendingAsk, "add", add_and_note)
     fleet = _fleet(2, 2, records.Customer("acme", rate_per_s=2, burst=6))
-    page = shares.from_bytes(
-        fleet.keyvalue.entries[shares.key_of(shares.page_of("acme"))].value
+    page = limitrecords.from_bytes(
+        fleet.keyvalue.entries[
+            limitrecords.key_of(limitrecords.page_of("acme"))
+        ].value
     )
     owners = {part.vm for part in page.parts}
     vm = next(name for name in ("d0v0", "d0v1") if name not in owners)
@@ -160,14 +162,14 @@
         for other in competitors[:]:
             competitors.clear()
             other.refresh()
-            other.tend()
+            other.run_maintenance()
         return put(*arguments)
 
     monkeypatch.setattr(limitfakes.MemoryKeyValue, "put", put_late)
     limits = fleet.nodes["d0v0"].limits
     limits.refresh()
-    limits.tend()
-    assert len(limits.dump().owned) == shares.PAGES
+    limits.run_maintenance()
+    assert len(limits.dump().owned) == limitrecords.PAGES
 
 
 def test_customer_created_while_a_part_is_claimed_is_served(
--- a/tests/daemon/test_limits_faults.py
+++ b/tests/daemon/test_limits_faults.py
@@ -9,8 +9,8 @@
 
 from bench import limitfakes
 from bulrushdeal import records
+from bulrushdeald import limitrecords
 from bulrushdeald import rebalance
-from bulrushdeald import shares
 from support import limitoracle
 
 _NAMES = [f"d{d}v{v}" for d in range(3) for v in range(3)]
@@ -29,8 +29,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.patch = pytest.MonkeyPatch()
-        self.patch.setattr(shares, "PAGES", self.pages)
-        self.patch.setattr(rebalance, "REBALANCE_S", 2.0)
+        self.patch.setattr(limitrecords, "PAGES", self.pages)
+        self.patch.setattr(rebalance, "REBALANCE_INTERVAL_S", 2.0)
 
     def teardown(self) -> None:
         self.patch.undo()
@@ -107,7 +107,7 @@
         owners = {
             part.vm
             for entry in self.fleet.keyvalue.entries.values()
-            for part in shares.from_bytes(entry.value).parts
+            for part in limitrecords.from_bytes(entry.value).parts
         }
         name = self.pick(data, list(owners & set(self.fleet.nodes)))
         if name is None:
@@ -132,7 +132,7 @@
         if name is None:
             return
         self.fleet.nodes[name].limits.refresh()
-        self.fleet.nodes[name].limits.tend()
+        self.fleet.nodes[name].limits.run_maintenance()
 
     @stateful.rule(seconds=st.sampled_from([1, 3, 9, 15]))
     def settle(self, seconds: int) -> None:
@@ -252,7 +252,7 @@
     @stateful.invariant()
     def fractions_are_at_most_one(self) -> None:
         for entry in self.fleet.keyvalue.entries.values():
-            parts = shares.from_bytes(entry.value).parts
+            parts = limitrecords.from_bytes(entry.value).parts
             assert sum(part.fraction for part in parts) <= 1 + 1e-9
 
     @stateful.rule()
--- a/tests/daemon/test_limits_guards.py
+++ b/tests/daemon/test_limits_guards.py
@@ -9,9 +9,9 @@
 
 from bench import limitfakes
 from bulrushdeal import records
-from bulrushdeald import bucket
+from bulrushdeald import limitrecords
 from bulrushdeald import services
-from bulrushdeald import shares
+from bulrushdeald import tokenledger
 from support import limitscene
 
 _ROW = limitscene.ROW
@@ -19,7 +19,7 @@
 
 @pytest.fixture(autouse=True)
 def _one_page(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr(shares, "PAGES", 1)
+    monkeypatch.setattr(limitrecords, "PAGES", 1)
     yield
 
 
@@ -83,7 +83,7 @@
     scene.take(vm, 1)
     scene.fleet.net.delay_next_messages = 1
     scene.fleet.world.now_s += 1.2
-    scene.fleet.nodes[vm].limits.tend()
+    scene.fleet.nodes[vm].limits.run_maintenance()
     scene.take(vm, 1)
     scene.fleet.kill(vm)
     scene.fleet.add(vm, "d0")
@@ -106,7 +106,7 @@
         for _ in range(15):
             scene.fleet.world.now_s += 1.0
             scene.fleet.nodes[other].limits.refresh()
-            scene.fleet.nodes[other].limits.tend()
+            scene.fleet.nodes[other].limits.run_maintenance()
         assert scene.part().takeovers == 0
         scene.take(other, 150)
 
@@ -128,7 +128,7 @@
         for _ in range(15):
             scene.fleet.world.now_s += 1.0
             scene.fleet.nodes[successor].limits.refresh()
-            scene.fleet.nodes[successor].limits.tend()
+            scene.fleet.nodes[successor].limits.run_maintenance()
         assert scene.part("d1").takeovers == 0
 
     scene.fleet.net.in_flight = replace_owner
@@ -159,7 +159,7 @@
     del scene.fleet.listed["d0v9"]
     scene.fleet.nodes["d0v9"].limits.refresh()
     scene.prefetch_credit("d0v9")
-    scene.fleet.nodes["d0v0"].limits.tend()
+    scene.fleet.nodes["d0v0"].limits.run_maintenance()
     scene.fleet.world.now_s += 0.9
     scene.drain()
 
@@ -191,8 +191,8 @@
 def test_fast_clock_does_not_raise_the_rate() -> None:
     # Guards against exceeding the rate over hours: the owner's clock runs some
     # hundred parts per million fast, and its bucket never becomes full.
-    terms = bucket.Terms(rate_per_s=100.0, burst=10.0)
-    ledger = bucket.Ledger(terms, 0.0)
+    terms = tokenledger.Terms(rate_per_s=100.0, burst=10.0)
+    ledger = tokenledger.Ledger(terms, 0.0)
     granted = 0.0
     seconds = 900
     for step in range(40 * seconds):
@@ -254,7 +254,7 @@
     scene.prefetch_credit(vm)
     scene.fleet.world.now_s += 1.5
     assert scene.in_hand(vm) > 0
-    scene.fleet.nodes[vm].limits.tend()
+    scene.fleet.nodes[vm].limits.run_maintenance()
     assert scene.in_hand(vm) == 0
     scene.drain()
 
@@ -283,9 +283,9 @@
     lost = next(v for v in scene.fleet.nodes if v not in (paused, successor))
     scene.fleet.net.resume(paused)
     scene.fleet.net.in_flight = lambda: scene.lose_vm(lost)
-    scene.fleet.nodes[successor].limits.tend()
+    scene.fleet.nodes[successor].limits.run_maintenance()
     assert scene.part().takeovers == 1
-    scene.fleet.nodes[successor].limits.tend()
+    scene.fleet.nodes[successor].limits.run_maintenance()
     assert scene.part().takeovers == 0
 
 
@@ -426,7 +426,7 @@
     monkeypatch.setattr(limitfakes.ListedMembership, "entry_vms", read)
     fleet.settle(5)
     entry = fleet.keyvalue.entries["limits/00"]
-    parts = shares.from_bytes(entry.value).parts
+    parts = limitrecords.from_bytes(entry.value).parts
     assert [part.failure_domain for part in parts] == ["d0", "d1"]
     assert sum(part.fraction for part in parts) <= 1
 
--- a/tests/daemon/test_owner.py
+++ b/tests/daemon/test_ownedpart.py
@@ -3,19 +3,19 @@
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
 from bulrushdeald import credit
-from bulrushdeald import owner
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
+from bulrushdeald import ownedpart
 from bulrushdeald import shortage
 
 _LENDER = credit.Source("d1", 1)
 _ROW = records.Customer("a", rate_per_s=10, burst=20)
 
 
-def _owned(fraction: float = 0.5) -> owner.OwnedPart:
+def _owned(fraction: float = 0.5) -> ownedpart.OwnedPart:
     clock = clock_lib.FakeClock()
-    part = shares.Part("d0", fraction, "v", "run", epoch=1)
-    owned = owner.OwnedPart(0, part, clock)
-    owned.set_rows({"a": _ROW})
+    part = limitrecords.Part("d0", fraction, "v", "run", epoch=1)
+    owned = ownedpart.OwnedPart(0, part, clock)
+    owned.apply_rows({"a": _ROW})
     clock.now_s += 100
     return owned
 
@@ -24,13 +24,13 @@
     return credit.CreditAsk(0, "d0", 1, "run", seq, (want,), lent_on, 1)
 
 
-def _borrow(owned: owner.OwnedPart, count: float) -> None:
-    want = owned.want(_LENDER, shortage.Shortage("a", count))
+def _borrow(owned: ownedpart.OwnedPart, count: float) -> None:
+    want = owned.prepare_want(_LENDER, shortage.Shortage("a", count))
     grant = credit.Grant(want.reserved + count, _ROW.burst)
-    owned.receive(_LENDER, want, grant, owned.drops)
+    owned.receive(_LENDER, want, grant, owned.drop_count)
 
 
-def _lent(owned: owner.OwnedPart) -> float:
+def _lent(owned: ownedpart.OwnedPart) -> float:
     return owned.totals()["a"][1]
 
 
@@ -41,12 +41,14 @@
     owned = _owned()
     owned.answer("o", _ask(credit.Want("a", 0, 3, 3), 1, lent_on="d1"))
     assert _lent(owned) == 3
-    lost = shares.Page((shares.Part("d1", 0.5, "o", "run", 1),))
+    lost = limitrecords.Page((limitrecords.Part("d1", 0.5, "o", "run", 1),))
     owned.sweep(lambda vm: vm == "o", lost)
-    taken = shares.Page((shares.Part("d1", 0.5, "p", "run", 2, 1),))
+    taken = limitrecords.Page((limitrecords.Part("d1", 0.5, "p", "run", 2, 1),))
     owned.sweep(lambda vm: vm == "o", taken)
     assert _lent(owned) == 3
-    cleared = shares.Page((shares.Part("d1", 0.5, "p", "run", 2, 0),))
+    cleared = limitrecords.Page(
+        (limitrecords.Part("d1", 0.5, "p", "run", 2, 0),)
+    )
     owned.sweep(lambda vm: vm == "o", cleared)
     assert _lent(owned) == 0
 
@@ -59,10 +61,10 @@
     want = credit.Want("a", 0, 5, 5)
     for holder in ("x", "y"):
         owned.answer(holder, _ask(want, 1))
-    assert not owned.void("d1", 2)
+    assert not owned.write_off("d1", 2)
     for holder in ("x", "y"):
         owned.answer(holder, _ask(credit.Want("a", 0), 2))
-    assert owned.void("d1", 2)
+    assert owned.write_off("d1", 2)
 
 
 def test_lowered_row_lowers_loans() -> None:
@@ -71,7 +73,7 @@
     owned = _owned()
     _borrow(owned, 4)
     borrowed = owned.totals()["a"][2]
-    owned.set_rows({"a": _ROW._replace(burst=5)})
+    owned.apply_rows({"a": _ROW._replace(burst=5)})
     assert 0 < owned.totals()["a"][2] <= borrowed / 4
     assert owned.debts() == {_LENDER: {"a"}}
 
@@ -82,11 +84,11 @@
     # domain has finished.
     owned = _owned(fraction=0.01)
     want = credit.Want("a", 0, 1, 1)
-    assert owned.answer("x", _ask(want, 1)).grants[0].again_s > 0
-    assert owned.shortages()
-    assert owned.answer("x", _ask(want, 2)).grants[0].again_s > 0
-    owned.collection_ended()
-    assert owned.answer("x", _ask(want, 3)).grants[0].again_s == 0
+    assert owned.answer("x", _ask(want, 1)).grants[0].retry_after_s > 0
+    assert owned.begin_collection()
+    assert owned.answer("x", _ask(want, 2)).grants[0].retry_after_s > 0
+    owned.end_collection()
+    assert owned.answer("x", _ask(want, 3)).grants[0].retry_after_s == 0
 
 
 def _new_customer(fraction: float, epoch: int) -> float:
@@ -102,13 +104,13 @@
     initial_tokens = records.InitialTokens(
         "a", 20, 0.0, (records.InitialTokensPart("d0", epoch, fraction),)
     )
-    part = shares.Part("d0", 0.25, "v", "run", epoch=2)
-    owned = owner.OwnedPart(
+    part = limitrecords.Part("d0", 0.25, "v", "run", epoch=2)
+    owned = ownedpart.OwnedPart(
         0, part, clock_lib.FakeClock(), lambda _: initial_tokens
     )
-    owned.set_part(part._replace(fraction=0.5))
-    owned.set_rows({"a": _ROW})
-    owned.set_rows({"a": _ROW})
+    owned.apply_part(part._replace(fraction=0.5))
+    owned.apply_rows({"a": _ROW})
+    owned.apply_rows({"a": _ROW})
     return owned.totals()["a"][0]
 
 
--- a/tests/daemon/test_bucket.py
+++ b/tests/daemon/test_tokenledger.py
@@ -4,8 +4,8 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from bulrushdeald import bucket
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
+from bulrushdeald import tokenledger
 
 _EPSILON = 1e-6
 _HOLDERS = ("x", "y")
@@ -29,7 +29,8 @@
     def begin(self, bursts: tuple[float, float]) -> None:
         self.now_s = 0.0
         self.parts = [
-            bucket.Ledger(bucket.Terms(1.0, burst), 0.0) for burst in bursts
+            tokenledger.Ledger(tokenledger.Terms(1.0, burst), 0.0)
+            for burst in bursts
         ]
         self.in_hand = [dict.fromkeys(_HOLDERS, 0.0) for _ in bursts]
 
@@ -103,7 +104,7 @@
     @stateful.invariant()
     def lent_is_at_most_what_the_next_owner_allows_for(self) -> None:
         for part in self.parts:
-            bound = shares.lendable(part.capacity) + part.borrowed
+            bound = limitrecords.lendable(part.capacity) + part.borrowed
             assert part.lent <= bound + _EPSILON
 
 
--- a/tests/process/test_customers.py
+++ b/tests/process/test_customers.py
@@ -3,7 +3,7 @@
 import json
 import pathlib
 
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
 from standins import deployment as deployment_lib
 from standins import fleet as fleet_lib
 from support import processes
@@ -123,7 +123,9 @@
         old, other = system.daemons
         # A part without an owner cannot be claimed during an outage.
         fleet_lib.poll(
-            lambda: len(system.dump(other)["limits"]["owned"]) == shares.PAGES,
+            lambda: (
+                len(system.dump(other)["limits"]["owned"]) == limitrecords.PAGES
+            ),
             30.0,
             "the other failure domain owns its parts",
         )
--- a/tests/support/limitscene.py
+++ b/tests/support/limitscene.py
@@ -2,7 +2,7 @@
 
 from bench import limitfakes
 from bulrushdeal import records
-from bulrushdeald import shares
+from bulrushdeald import limitrecords
 from support import limitoracle
 
 ROW = records.Customer("a", rate_per_s=100, burst=100)
@@ -27,10 +27,10 @@
         self.fleet.world.now_s += 100.0
         self.bucket = limitoracle.Bucket(row, self.fleet.world.now_s)
 
-    def part(self, domain: str = "d0") -> shares.Part:
+    def part(self, domain: str = "d0") -> limitrecords.Part:
         """Returns a failure domain's part from the page's record."""
         entry = self.fleet.keyvalue.entries["limits/00"]
-        part = shares.from_bytes(entry.value).part(domain)
+        part = limitrecords.from_bytes(entry.value).part(domain)
         assert part is not None
         return part
 
@@ -42,7 +42,7 @@
     def domains(self) -> int:
         """Returns the number of failure domains in the page's record."""
         entry = self.fleet.keyvalue.entries["limits/00"]
-        return len(shares.from_bytes(entry.value).parts)
+        return len(limitrecords.from_bytes(entry.value).parts)
 
     def take(self, vm: str, count: int) -> int:
         """Makes `count` requests at a VM; returns how many are admitted."""
--- a/tests/support/mixedfleet.py
+++ b/tests/support/mixedfleet.py
@@ -84,7 +84,7 @@
 
     def _run_limits(self) -> None:
         for vm in self.awake():
-            vm.limits.work()
+            vm.limits.run_urgent_tasks()
 
     def add(self, name: str, domain: str, folder: str) -> mixedvm.MixedVm:
         """Starts and lists a VM.
--- a/tests/support/mixedvm.py
+++ b/tests/support/mixedvm.py
@@ -24,12 +24,12 @@
 from bulrushdeald import callers
 from bulrushdeald import config
 from bulrushdeald import intents
+from bulrushdeald import limitrecords
 from bulrushdeald import limits
 from bulrushdeald import pages
 from bulrushdeald import rebalance
 from bulrushdeald import router
 from bulrushdeald import services
-from bulrushdeald import shares
 from support import batchfakes
 from support import limitoracle
 from support import mixedupstreams
@@ -76,8 +76,8 @@
     monkeypatch.setattr(
         secrets, "token_hex", lambda size: rng.randbytes(size).hex()
     )
-    monkeypatch.setattr(shares, "PAGES", 1)
-    monkeypatch.setattr(rebalance, "REBALANCE_S", 2.0)
+    monkeypatch.setattr(limitrecords, "PAGES", 1)
+    monkeypatch.setattr(rebalance, "REBALANCE_INTERVAL_S", 2.0)
 
 
 class KeyValue(batchfakes.FakeKeyValue):
@@ -297,7 +297,7 @@
         else:
             self.config.gossip.compare_with_many()
         self.limits.refresh()
-        self.limits.tend()
+        self.limits.run_maintenance()
         self.intents._repair()
         self.router.send_reports()
         self.coordinator.tick()
