--- a/packages/bench/bench/countcost.py
+++ b/packages/bench/bench/countcost.py
@@ -81,18 +81,18 @@
     """
 
     counts: inflight.Inflight
-    names: countlists.Names
+    names: countlists.UpstreamNames
 
     def answer(self, message: Any) -> Any:
         """Takes a report in either form and returns the owner's totals."""
         owned = frozenset(self.names.names)
         if isinstance(message, inflight.CountsReport):
-            self.counts.take_report("vm-0", message)
+            self.counts.store_report("vm-0", message)
             return self.counts.totals(owned)
-        report = self.names.report(message)
+        report = self.names.with_names(message)
         assert report is not None
-        self.counts.take_report("vm-0", report)
-        return self.names.listed_totals(self.counts.totals(owned))
+        self.counts.store_report("vm-0", report)
+        return self.names.totals_without_names(self.counts.totals(owned))
 
 
 class CountingPeers:
@@ -134,7 +134,7 @@
             if vm not in self._owners:
                 names = tuple(sorted(self._router.owned_by(vm)))
                 self._owners[vm] = _Owner(
-                    self._random_counts(names), countlists.Names(names)
+                    self._random_counts(names), countlists.UpstreamNames(names)
                 )
             answer = self._owners[vm].answer(message)
             self.calls += 1
@@ -160,7 +160,7 @@
 
 
 class Router:
-    """A fixed topology; see `inflightreports.Owner`."""
+    """A fixed topology; see `inflightreports.Router`."""
 
     def __init__(self, vms: int) -> None:
         rows = tuple(
@@ -175,19 +175,19 @@
         self._owned: dict[str, frozenset[str]] = {}
 
     def topology(self) -> topology_lib.Topology:
-        """See `inflightreports.Owner`."""
+        """See `inflightreports.Router`."""
         return self._topology
 
-    def set_silent(self, vm: str, is_silent: bool) -> None:
-        """See `inflightreports.Owner`."""
+    def set_unresponsive(self, vm: str, is_unresponsive: bool) -> None:
+        """See `inflightreports.Router`."""
 
-    def is_silent(self, vm: str) -> bool:
-        """See `inflightreports.Owner`."""
+    def is_unresponsive(self, vm: str) -> bool:
+        """See `inflightreports.Router`."""
         del vm
         return False
 
-    def took_report(self, upstreams: Iterable[str]) -> None:
-        """See `inflightreports.Owner`."""
+    def on_counts_changed(self, upstreams: Iterable[str]) -> None:
+        """See `inflightreports.Router`."""
 
     def owned_by(self, vm: str) -> frozenset[str]:
         """Returns the names of the upstreams that a VM owns."""
@@ -211,7 +211,7 @@
         self.peers = CountingPeers(self._router, self._random)
         self._lock = threading.Lock()
         self._counts = inflight.Inflight(clock_lib.SystemClock())
-        self.reports = inflightreports.Reports(
+        self.reports = inflightreports.CountReports(
             self.peers,
             self._counts,
             self._lock,
@@ -252,7 +252,7 @@
             if owner == "vm-0":
                 return
             self.peers.record_change(owner, count < 0)
-            self.reports.changed(owner, is_urgent=count > 0)
+            self.reports.schedule_report(owner, is_urgent=count > 0)
 
 
 def measure(vms: int, rate_per_s: float, duration_s: float, seed: int) -> Row:
--- a/packages/bench/bench/routecost.py
+++ b/packages/bench/bench/routecost.py
@@ -166,14 +166,18 @@
     start_s = time.process_time()
     built = topology.build(_upstreams(size), _vms(size), _vms(size)[0])
     topology_s = time.process_time() - start_s
-    names = countlists.Names(tuple(sorted(built.owned)))
+    names = countlists.UpstreamNames(tuple(sorted(built.owned)))
     counts = tuple(inflight.Count(name, 3) for name in names.names)
     return Cost(
         size,
         acquire_s * 1e6,
         topology_s * 1e3,
-        len(codec.pack(names.listed(inflight.CountsReport(counts)))),
-        len(codec.pack(names.listed_totals(inflight.CountsTotals(counts)))),
+        len(codec.pack(names.without_names(inflight.CountsReport(counts)))),
+        len(
+            codec.pack(
+                names.totals_without_names(inflight.CountsTotals(counts))
+            )
+        ),
         _state_mb(size),
     )
 
--- a/packages/daemon/bulrushdeald/countlists.py
+++ b/packages/daemon/bulrushdeald/countlists.py
@@ -41,7 +41,7 @@
     batch: tuple[int, ...] = ()
 
 
-class Names:
+class UpstreamNames:
     """The names of one owner's upstreams.
 
     Attributes:
@@ -54,14 +54,14 @@
         data = "\n".join(names).encode()
         self.digest = hashlib.sha256(data).digest()[:_DIGEST_BYTES]
 
-    def listed(self, report: inflight.CountsReport) -> ListedReport:
+    def without_names(self, report: inflight.CountsReport) -> ListedReport:
         """Returns a report of these upstreams without their names."""
         online = {count.upstream: count.online for count in report.counts}
         return ListedReport(
             self.digest, tuple(online.get(name, 0) for name in self.names)
         )
 
-    def report(self, listed: ListedReport) -> inflight.CountsReport | None:
+    def with_names(self, listed: ListedReport) -> inflight.CountsReport | None:
         """Returns a report with names, `None` if it is for another list."""
         if listed.digest != self.digest:
             return None
@@ -75,7 +75,9 @@
             )
         )
 
-    def listed_totals(self, totals: inflight.CountsTotals) -> ListedTotals:
+    def totals_without_names(
+        self, totals: inflight.CountsTotals
+    ) -> ListedTotals:
         """Returns totals without names.
 
         If they cover other upstreams, the result is marked as not known.
@@ -88,7 +90,9 @@
             tuple(count.batch for count in totals.totals),
         )
 
-    def totals(self, listed: ListedTotals) -> inflight.CountsTotals | None:
+    def totals_with_names(
+        self, listed: ListedTotals
+    ) -> inflight.CountsTotals | None:
         """Returns totals with names, `None` if they are for another list."""
         sizes = {len(listed.online), len(listed.batch)}
         if not listed.is_known or sizes != {len(self.names)}:
--- a/packages/daemon/bulrushdeald/inflight.py
+++ b/packages/daemon/bulrushdeald/inflight.py
@@ -116,7 +116,7 @@
             )
         )
 
-    def take_report(self, vm: str, report: CountsReport) -> None:
+    def store_report(self, vm: str, report: CountsReport) -> None:
         """Replaces a VM's stored report; called on the owner."""
         self._drop_report(vm)
         online = {count.upstream: count.online for count in report.counts}
@@ -177,7 +177,7 @@
             )
         )
 
-    def take_totals(
+    def store_totals(
         self, owner: str, sent: CountsReport, answer: CountsTotals
     ) -> None:
         """Stores an owner's totals, less the counts that this VM reported.
@@ -198,7 +198,7 @@
             self._clock.monotonic_s(), others
         )
 
-    def is_known(self, owner: str) -> bool:
+    def has_fresh_totals(self, owner: str) -> bool:
         """Returns whether this VM has unexpired totals of an owner."""
         others = self._remote_counts.get(owner)
         return others is not None and not self._is_expired(others.at_s)
@@ -212,7 +212,7 @@
             return Count(
                 upstream, self.total_online(upstream), self.own_batch(upstream)
             )
-        if not self.is_known(owner):
+        if not self.has_fresh_totals(owner):
             return Count(
                 upstream, self.own_online(upstream), self.own_batch(upstream)
             )
--- a/packages/daemon/bulrushdeald/inflightreports.py
+++ b/packages/daemon/bulrushdeald/inflightreports.py
@@ -25,11 +25,11 @@
 # Up to this many owners the delay and the heartbeat interval above apply. With
 # more, both grow in proportion, so that a VM's placements and not the number
 # of owners bound the messages that it sends per second.
-OWNERS_AT_FULL_PACE = 8
+OWNERS_AT_FULL_RATE = 8
 _HEARTBEATS_TO_EXPIRY = 5
-# An owner that has not answered for this long counts as silent: it does nothing
-# for its upstreams.
-SILENT_AFTER_S = 5.0
+# An owner that has not answered for this long counts as unresponsive: it does
+# nothing for its upstreams.
+UNRESPONSIVE_AFTER_S = 5.0
 _CALL_TIMEOUT_S = 1.0
 _OWNER_POLL_S = 0.5
 # How long reports carry names after an owner did not have the same list. While
@@ -37,19 +37,19 @@
 UNKNOWN_LIST_S = 10.0
 
 
-class Owner(Protocol):
-    """The part of the router that `Reports` uses."""
+class Router(Protocol):
+    """The part of the router that `CountReports` uses."""
 
     def topology(self) -> topology_lib.Topology:
         """Returns who owns which upstream now."""
 
-    def set_silent(self, vm: str, is_silent: bool) -> None:
-        """Sets whether an owner counts as silent."""
+    def set_unresponsive(self, vm: str, is_unresponsive: bool) -> None:
+        """Sets whether an owner counts as unresponsive."""
 
-    def is_silent(self, vm: str) -> bool:
-        """Returns whether an owner counts as silent."""
+    def is_unresponsive(self, vm: str) -> bool:
+        """Returns whether an owner counts as unresponsive."""
 
-    def took_report(self, upstreams: Iterable[str]) -> None:
+    def on_counts_changed(self, upstreams: Iterable[str]) -> None:
         """Acts on changed counts of upstreams; the lock must be held."""
 
 
@@ -78,7 +78,7 @@
     until_s: float
 
 
-class Reports:
+class CountReports:
     """Sends and answers `inflight.CountsReport` messages."""
 
     def __init__(
@@ -86,7 +86,7 @@
         peers: services.Peers,
         counts: inflight.Inflight,
         lock: threading.Lock,
-        router: Owner,
+        router: Router,
         clock: clock_lib.Clock,
     ) -> None:
         self._peers = peers
@@ -98,8 +98,8 @@
         self._wakeups: dict[str, _Wakeup] = {}
         self._send_locks: dict[str, threading.Lock] = {}
         self._unknown_lists: dict[str, _UnknownList] = {}
-        self._names_by_owner: dict[str, countlists.Names] = {}
-        self._own_upstreams = countlists.Names(())
+        self._names_by_owner: dict[str, countlists.UpstreamNames] = {}
+        self._own_upstreams = countlists.UpstreamNames(())
         self._names_topology: topology_lib.Topology | None = None
         self._stopping = threading.Event()
         self._relaxed_delay_s = RELAXED_DELAY_S
@@ -127,9 +127,9 @@
             wakeup.urgent.set()
             wakeup.changed.set()
 
-    def changed(self, owner: str, is_urgent: bool) -> None:
+    def schedule_report(self, owner: str, is_urgent: bool) -> None:
         """Schedules a report to an owner; the router's lock must be held."""
-        wakeup = self._wakeups.get(owner) or self._open(owner)
+        wakeup = self._wakeups.get(owner) or self._start_reporting(owner)
         if wakeup is None:
             return
         if is_urgent:
@@ -141,8 +141,8 @@
     ) -> inflight.CountsTotals:
         with self._lock:
             owned = self._router.topology().owned
-            self._counts.take_report(vm, report)
-            self._router.took_report(owned)
+            self._counts.store_report(vm, report)
+            self._router.on_counts_changed(owned)
             return self._counts.totals(owned)
 
     def _on_listed_report(
@@ -150,12 +150,12 @@
     ) -> countlists.ListedTotals:
         with self._lock:
             names = self._own_names()
-        report = names.report(listed)
+        report = names.with_names(listed)
         if report is None:
             return countlists.ListedTotals(False)
-        return names.listed_totals(self._on_report(vm, report))
+        return names.totals_without_names(self._on_report(vm, report))
 
-    def _names(self, owner: str) -> countlists.Names:
+    def _names(self, owner: str) -> countlists.UpstreamNames:
         """Returns the names of an owner's upstreams; the lock must be held.
 
         Empty if none of them is near; see `topology.Topology`.
@@ -164,15 +164,15 @@
         if topology is not self._names_topology:
             self._names_topology = topology
             self._names_by_owner.clear()
-            self._own_upstreams = countlists.Names(
+            self._own_upstreams = countlists.UpstreamNames(
                 tuple(sorted(topology.owned))
             )
         if owner not in self._names_by_owner:
-            names = topology.by_owner.get(owner, ())
-            self._names_by_owner[owner] = countlists.Names(names)
+            names = topology.upstreams_by_owner.get(owner, ())
+            self._names_by_owner[owner] = countlists.UpstreamNames(names)
         return self._names_by_owner[owner]
 
-    def _own_names(self) -> countlists.Names:
+    def _own_names(self) -> countlists.UpstreamNames:
         """Returns the names of the upstreams owned here, with the lock held."""
         self._names("")
         return self._own_upstreams
@@ -183,9 +183,9 @@
                 self._scale_intervals()
                 self._counts.prune()
                 self._drop_expired_unknown_lists()
-                for owner in self._router.topology().near_owners:
+                for owner in self._router.topology().peer_owners:
                     if owner not in self._wakeups:
-                        self._open(owner)
+                        self._start_reporting(owner)
 
     def _drop_expired_unknown_lists(self) -> None:
         now_s = self._clock.monotonic_s()
@@ -194,13 +194,13 @@
                 del self._unknown_lists[owner]
 
     def _scale_intervals(self) -> None:
-        owners = len(self._router.topology().near_owners)
-        factor = max(1.0, owners / OWNERS_AT_FULL_PACE)
+        owners = len(self._router.topology().peer_owners)
+        factor = max(1.0, owners / OWNERS_AT_FULL_RATE)
         self._relaxed_delay_s = RELAXED_DELAY_S * factor
         self._heartbeat_s = HEARTBEAT_S * factor
         self._counts.expiry_s = self._heartbeat_s * _HEARTBEATS_TO_EXPIRY
 
-    def _open(self, owner: str) -> _Wakeup | None:
+    def _start_reporting(self, owner: str) -> _Wakeup | None:
         """Starts a reporting thread for an owner, with the lock held."""
         if not owner or self._stopping.is_set():
             return None
@@ -231,21 +231,21 @@
 
     def _keeps_reporting(self, owner: str, wakeup: _Wakeup) -> bool:
         """Returns whether an owner gets reports even if they are empty."""
-        if owner in self._router.topology().near_owners:
+        if owner in self._router.topology().peer_owners:
             return True
-        # Without further reports a silent owner would stay silent forever.
-        return wakeup.changed.is_set() or self._router.is_silent(owner)
+        # Without further reports an unresponsive owner would stay so forever.
+        return wakeup.changed.is_set() or self._router.is_unresponsive(owner)
 
     def _note_failure(self, owner: str) -> None:
         now_s = self._clock.monotonic_s()
         since_s = self._failing_since_s.setdefault(owner, now_s)
-        if now_s - since_s < SILENT_AFTER_S:
+        if now_s - since_s < UNRESPONSIVE_AFTER_S:
             return
         with self._lock:
-            if self._router.is_silent(owner):
+            if self._router.is_unresponsive(owner):
                 return
             _log.warning("VM %s is silent; others own its upstreams.", owner)
-            self._router.set_silent(owner, True)
+            self._router.set_unresponsive(owner, True)
 
     def _wait_for_more(self, wakeup: _Wakeup) -> None:
         """Delays a report of ended requests so that it covers several."""
@@ -274,13 +274,15 @@
             return report
         self._failing_since_s.pop(owner, None)
         with self._lock:
-            self._router.set_silent(owner, False)
-            self._counts.take_totals(owner, report, totals)
-            self._router.took_report(total.upstream for total in totals.totals)
+            self._router.set_unresponsive(owner, False)
+            self._counts.store_totals(owner, report, totals)
+            self._router.on_counts_changed(
+                total.upstream for total in totals.totals
+            )
         return report
 
     def _own_report(
-        self, owner: str, names: countlists.Names
+        self, owner: str, names: countlists.UpstreamNames
     ) -> inflight.CountsReport:
         if names.names:
             return self._counts.own_report(names.names)
@@ -295,7 +297,7 @@
     def _exchange(
         self,
         owner: str,
-        names: countlists.Names,
+        names: countlists.UpstreamNames,
         report: inflight.CountsReport,
     ) -> inflight.CountsTotals | None:
         """Sends a report, without names unless the owner lacks the list.
@@ -305,11 +307,15 @@
         """
         if names.names and not self._is_unknown(owner, names):
             answer = self._peers.call(
-                owner, names.listed(report), _CALL_TIMEOUT_S
+                owner, names.without_names(report), _CALL_TIMEOUT_S
             )
             if answer.is_err() and answer.unwrap_err().kind != "refused":
                 return None
-            totals = names.totals(answer.unwrap()) if answer.is_ok() else None
+            totals = (
+                names.totals_with_names(answer.unwrap())
+                if answer.is_ok()
+                else None
+            )
             if totals is not None:
                 return totals
             until_s = self._clock.monotonic_s() + UNKNOWN_LIST_S
@@ -318,7 +324,7 @@
         answer = self._peers.call(owner, report, _CALL_TIMEOUT_S)
         return None if answer.is_err() else answer.unwrap()
 
-    def _is_unknown(self, owner: str, names: countlists.Names) -> bool:
+    def _is_unknown(self, owner: str, names: countlists.UpstreamNames) -> bool:
         unknown = self._unknown_lists.get(owner)
         if unknown is None or unknown.digest != names.digest:
             return False
--- a/packages/daemon/bulrushdeald/placement.py
+++ b/packages/daemon/bulrushdeald/placement.py
@@ -6,13 +6,13 @@
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
 from bulrushdeald import batchslots
-from bulrushdeald import choice
 from bulrushdeald import health as health_lib
 from bulrushdeald import inflight as inflight_lib
 from bulrushdeald import loadpoll
+from bulrushdeald import routingpolicies
 from bulrushdeald import services
 from bulrushdeald import topology as topology_lib
-from bulrushdeald import waits as waits_lib
+from bulrushdeald import waitingcounts
 
 
 class _TopologyInput(NamedTuple):
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        policy: choice.Policy,
+        policy: routingpolicies.Policy,
         batch: batchslots.BatchSlots,
         clock: clock_lib.Clock,
     ) -> None:
@@ -41,14 +41,14 @@
         self._recent_max = loadpoll.RecentMaximum(clock)
         self._suspects: dict[str, int] = {}
         self._known_entry_vms: tuple[records.Vm, ...] = ()
-        self._silent: frozenset[str] = frozenset()
+        self._unresponsive: frozenset[str] = frozenset()
         self._topology = topology_lib.build((), (), records.Vm("", "", "entry"))
         self._topology_input = _TopologyInput((), ())
         self._is_stale = True
         self.health = health_lib.Health(clock)
         self.inflight = inflight_lib.Inflight(clock)
         self.batch = batch
-        self._waits: waits_lib.Waits | None = None
+        self._waits: waitingcounts.Waits | None = None
 
     def connect(
         self, config: services.Config, membership: services.Membership
@@ -59,7 +59,7 @@
         self._own_vm = membership.own_vm()
         config.on_change(self._note_change)
 
-    def set_waits(self, waits: waits_lib.Waits) -> None:
+    def set_waits(self, waits: waitingcounts.Waits) -> None:
         """Sets the record of the requests that wait on other VMs.
 
         From then on, this VM may leave free slots to those requests.
@@ -69,7 +69,7 @@
     def _note_change(self) -> None:
         self._is_stale = True
 
-    def set_silent(self, vm: str, is_silent: bool) -> None:
+    def set_unresponsive(self, vm: str, is_unresponsive: bool) -> None:
         """Records whether an owner responds to this VM.
 
         A frozen VM stays on the platform's list, and no batch item would run
@@ -79,14 +79,14 @@
         batch items on the same upstreams, and these items still yield to
         online requests.
         """
-        if (vm in self._silent) == is_silent:
+        if (vm in self._unresponsive) == is_unresponsive:
             return
-        self._silent = self._silent ^ {vm}
+        self._unresponsive = self._unresponsive ^ {vm}
         self._is_stale = True
 
-    def is_silent(self, vm: str) -> bool:
+    def is_unresponsive(self, vm: str) -> bool:
         """Returns whether an owner has stopped responding to this VM."""
-        return vm in self._silent
+        return vm in self._unresponsive
 
     def topology(self) -> topology_lib.Topology:
         """Returns which upstreams serve which model, and their owners.
@@ -102,8 +102,10 @@
         self._is_stale = False
         upstreams = self._config.upstreams()
         # Drops VMs that have left the list; VM names are never reused.
-        self._silent &= frozenset(vm.vm for vm in entry_vms)
-        responsive = tuple(vm for vm in entry_vms if vm.vm not in self._silent)
+        self._unresponsive &= frozenset(vm.vm for vm in entry_vms)
+        responsive = tuple(
+            vm for vm in entry_vms if vm.vm not in self._unresponsive
+        )
         # Most changes concern customers only and need no rebuild.
         topology_input = _TopologyInput(upstreams, responsive)
         if topology_input != self._topology_input:
@@ -180,35 +182,37 @@
         if not self.inflight.own_online(name):
             return True
         owner = self.topology().owners.of(name)
-        return owner == self._own_vm.vm or self.inflight.is_known(owner)
+        return owner == self._own_vm.vm or self.inflight.has_fresh_totals(owner)
 
     def _with_room(
         self, upstreams: tuple[records.Upstream, ...], is_suspect: bool
-    ) -> list[choice.Candidate]:
-        found: list[choice.Candidate] = []
+    ) -> list[routingpolicies.Candidate]:
+        found: list[routingpolicies.Candidate] = []
         for upstream in self.usable(upstreams):
             if is_suspect and self._suspects.get(upstream.upstream, 0):
                 continue
             count = self.estimate(upstream)
             if count.online < upstream.slots:
                 found.append(
-                    choice.Candidate(upstream, count.online, count.batch)
+                    routingpolicies.Candidate(
+                        upstream, count.online, count.batch
+                    )
                 )
         return found
 
     def _waiting_elsewhere(
         self, upstream: records.Upstream, pool: str
-    ) -> waits_lib.Waiting:
+    ) -> waitingcounts.Waiting:
         if self._waits is None:
-            return waits_lib.Waiting(pool, 0, 0.0)
+            return waitingcounts.Waiting(pool, 0, 0.0)
         owner = self.topology().owners.of(upstream.upstream)
-        return self._waits.others(owner, self._own_vm.vm, pool)
+        return self._waits.waiting_elsewhere(owner, self._own_vm.vm, pool)
 
     def _is_left_to_others(
-        self, candidate: choice.Candidate, pool: str, weight: float
+        self, candidate: routingpolicies.Candidate, pool: str, weight: float
     ) -> bool:
         upstream = candidate.upstream
-        return waits_lib.is_left(
+        return waitingcounts.leaves_slot_to_others(
             upstream,
             self.inflight.own_online(upstream.upstream),
             upstream.slots - candidate.online,
--- a/packages/daemon/bulrushdeald/router.py
+++ b/packages/daemon/bulrushdeald/router.py
@@ -20,19 +20,19 @@
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeal import records
 from bulrushdeald import batchslots
-from bulrushdeald import choice
-from bulrushdeald import crashnotices
+from bulrushdeald import crashnotifier
 from bulrushdeald import defaults
 from bulrushdeald import inflightreports
 from bulrushdeald import loadpoll
 from bulrushdeald import placement
 from bulrushdeald import quarantine
 from bulrushdeald import queues
+from bulrushdeald import routingpolicies
 from bulrushdeald import services
 from bulrushdeald import slots
 from bulrushdeald import topology as topology_lib
-from bulrushdeald import waitreports
-from bulrushdeald import waits as waits_lib
+from bulrushdeald import waitingcounts
+from bulrushdeald import waitingreports
 
 # The longest time that an online request waits for a slot. An immediate
 # refusal with a retry time serves the caller better than a longer wait.
@@ -62,7 +62,7 @@
         )
         self._quarantine = quarantine.Quarantine(self._clock)
         self._placement = placement.Placement(
-            choice.make_policy(
+            routingpolicies.make_policy(
                 settings.upstream_policy, random.Random(settings.vm)
             ),
             batchslots.BatchSlots(
@@ -70,7 +70,7 @@
             ),
             self._clock,
         )
-        self._waits = waits_lib.Waits(self._clock, self._online_waiting)
+        self._waits = waitingcounts.Waits(self._clock, self._online_waiting)
         self._load_polls = loadpoll.LoadPolls(self)
         self._counters: dict[str, int] = {}
 
@@ -82,20 +82,20 @@
         peers = find(services.PEERS, services.Peers)
         self._placement.connect(self._config, membership)
         self._placement.set_waits(self._waits)
-        self._wait_reports = waitreports.WaitReports(
+        self._wait_reports = waitingreports.WaitReports(
             peers, self._waits, self._lock, self
         )
-        self._crash_notices = crashnotices.CrashNotices(
+        self._crash_notices = crashnotifier.CrashNotices(
             peers, membership, self._quarantine, self._lock
         )
-        self._inflight_reports = inflightreports.Reports(
+        self._inflight_reports = inflightreports.CountReports(
             peers, self._placement.inflight, self._lock, self, self._clock
         )
         self._crash_notices.start()
         self._inflight_reports.start()
         self._wait_reports.start()
         self._load_polls.start()
-        self._config.on_change(self.wake)
+        self._config.on_change(self.dispatch_all)
 
     def stop(self, grace_s: float) -> None:
         """Stops the reporting threads; slots in use stay valid."""
@@ -130,8 +130,8 @@
             }
 
     def send_reports(self) -> None:
-        """Sends this VM's reports to the other near owners immediately."""
-        for owner in self.topology().near_owners:
+        """Sends this VM's reports to the peer owners immediately."""
+        for owner in self.topology().peer_owners:
             self.send_report_to(owner)
 
     def send_report_to(self, owner: str) -> None:
@@ -139,15 +139,15 @@
         self._wait_reports.send(owner)
         self._inflight_reports.send(owner)
 
-    def ask_counts(self, owner: str) -> None:
+    def request_counts(self, owner: str) -> None:
         """Schedules an early request for an owner's counts."""
         with self._lock:
-            self._inflight_reports.changed(owner, is_urgent=True)
+            self._inflight_reports.schedule_report(owner, is_urgent=True)
 
-    def _online_waiting(self) -> tuple[waits_lib.Waiting, ...]:
+    def _online_waiting(self) -> tuple[waitingcounts.Waiting, ...]:
         """Returns the waiting online requests; the caller holds the lock."""
         return tuple(
-            waits_lib.Waiting(name, len(pool.online), pool.online.weight())
+            waitingcounts.Waiting(name, len(pool.online), pool.online.weight())
             for name, pool in self._pools.items()
             if pool.online
         )
@@ -156,13 +156,13 @@
         """Returns which upstreams serve which model, and their owners."""
         return self._placement.topology()
 
-    def set_silent(self, vm: str, is_silent: bool) -> None:
+    def set_unresponsive(self, vm: str, is_unresponsive: bool) -> None:
         """Records whether an owner responds; the caller holds the lock."""
-        self._placement.set_silent(vm, is_silent)
+        self._placement.set_unresponsive(vm, is_unresponsive)
 
-    def is_silent(self, vm: str) -> bool:
+    def is_unresponsive(self, vm: str) -> bool:
         """Returns whether an owner is recorded as not responding."""
-        return self._placement.is_silent(vm)
+        return self._placement.is_unresponsive(vm)
 
     def batch_slots(self, model: str) -> int:
         """See `services.Router`."""
@@ -281,7 +281,7 @@
             self._yield_surplus_batch(upstream)
             return
         owner = topology.owners.of(upstream.upstream)
-        self._inflight_reports.changed(owner, is_urgent)
+        self._inflight_reports.schedule_report(owner, is_urgent)
 
     def _yield_surplus_batch(self, upstream: records.Upstream) -> None:
         """Makes surplus batch items yield to online work."""
@@ -309,7 +309,7 @@
         """Applies an engine's own count of running and queued requests."""
         with self._lock:
             self._placement.update_external_count(upstream, running)
-            self.took_report(frozenset((upstream,)))
+            self.on_counts_changed(frozenset((upstream,)))
 
     def _wait_for_slot(
         self, work: services.PlacementRequest, pool: slots.Pool
@@ -329,7 +329,7 @@
         queue = pool.queue(work)
         ticket = queue.push(work.customer, weight, work.expected_tokens, waiter)
         if work.work_class == "online":
-            self._wait_reports.began()
+            self._wait_reports.start_reporting()
         until_s = self._clock.monotonic_s() + longest_s
         while waiter.slot is None and waiter.refusal is None:
             left_s = until_s - self._clock.monotonic_s()
@@ -350,7 +350,7 @@
         total = sum(upstream.slots for upstream in usable)
         # All VMs' queues share the slots, and the load balancer spreads
         # callers evenly over the VMs, so this VM gets an equal share.
-        share = total / self.topology().vms
+        share = total / self.topology().live_vm_count
         return pool.expected_wait_s(work.customer, weight, share)
 
     def _overloaded_refusal(self, expected_s: float) -> services.Refusal:
@@ -414,12 +414,12 @@
             queue.pop()
             waiter.wakeup.notify()
 
-    def wake(self) -> None:
+    def dispatch_all(self) -> None:
         """Tries to place all waiting requests after an external change."""
         with self._lock:
-            self.took_report(frozenset(self.topology().upstreams))
+            self.on_counts_changed(frozenset(self.topology().upstreams))
 
-    def took_report(self, upstreams: Iterable[str]) -> None:
+    def on_counts_changed(self, upstreams: Iterable[str]) -> None:
         """Acts on changed counts; the caller holds the lock."""
         topology = self.topology()
         for name in upstreams:
--- a/packages/daemon/bulrushdeald/topology.py
+++ b/packages/daemon/bulrushdeald/topology.py
@@ -68,8 +68,8 @@
 class Topology(NamedTuple):
     """What a VM derives from the configuration and the list of VMs.
 
-    `owned`, `near_owners` and `by_owner` cover only the upstreams in this VM's
-    failure domain and in failure domains that have no live entry VM.
+    `owned`, `peer_owners` and `upstreams_by_owner` cover only the upstreams in
+    this VM's failure domain and in failure domains that have no live entry VM.
 
     Attributes:
         upstreams: All upstreams by name.
@@ -77,10 +77,10 @@
         by_service: The upstreams that serve each plain service.
         owners: Maps each upstream to its owner.
         owned: The upstreams that this VM owns.
-        near_owners: The other VMs that own upstreams.
-        by_owner: The upstreams of each owner, this VM included, sorted by
-            name.
-        vms: Number of live entry VMs, at least 1.
+        peer_owners: The other VMs that own upstreams.
+        upstreams_by_owner: The upstreams of each owner, this VM included,
+            sorted by name.
+        live_vm_count: Number of live entry VMs, at least 1.
     """
 
     upstreams: Mapping[str, records.Upstream]
@@ -88,9 +88,9 @@
     by_service: Mapping[str, Serving]
     owners: Owners
     owned: frozenset[str]
-    near_owners: frozenset[str]
-    by_owner: Mapping[str, tuple[str, ...]]
-    vms: int
+    peer_owners: frozenset[str]
+    upstreams_by_owner: Mapping[str, tuple[str, ...]]
+    live_vm_count: int
 
     def serving(self, model: str, service: str) -> Serving:
         """Returns the upstreams that serve a model or a plain service."""
@@ -131,9 +131,9 @@
         if upstream.failure_domain == domain
         or upstream.failure_domain not in domains_with_vms
     }
-    by_owner: dict[str, list[str]] = {}
+    upstreams_by_owner: dict[str, list[str]] = {}
     for name in sorted(owner_by_upstream):
-        by_owner.setdefault(owner_by_upstream[name], []).append(name)
+        upstreams_by_owner.setdefault(owner_by_upstream[name], []).append(name)
     return Topology(
         by_name,
         {
@@ -149,7 +149,7 @@
             name for name, owner in owner_by_upstream.items() if owner == own.vm
         ),
         frozenset(owner_by_upstream.values()) - {own.vm, ""},
-        {owner: tuple(names) for owner, names in by_owner.items()},
+        {owner: tuple(names) for owner, names in upstreams_by_owner.items()},
         max(1, len(live)),
     )
 
--- a/packages/daemon/bulrushdeald/usablemodels.py
+++ b/packages/daemon/bulrushdeald/usablemodels.py
@@ -29,12 +29,12 @@
         self._lock = threading.Lock()
         self._last_usable_s: dict[str, float] = {}
 
-    def note(self, model: str) -> None:
+    def mark_usable(self, model: str) -> None:
         """Marks a model as usable now, as when one of its items ended."""
         with self._lock:
             self._last_usable_s[model] = self._clock.monotonic_s()
 
-    def now(self) -> tuple[str, ...]:
+    def current(self) -> tuple[str, ...]:
         """Returns the models whose chunks this VM may claim, sorted.
 
         A model stays usable while this VM's own items take all its slots, so
@@ -47,7 +47,7 @@
         }
         for model in models:
             if self._router.batch_slots(model) > 0:
-                self.note(model)
+                self.mark_usable(model)
         since_s = self._clock.monotonic_s() - _USABLE_FOR_S
         with self._lock:
             return tuple(
--- a/packages/daemon/bulrushdeald/waits.py
+++ b/packages/daemon/bulrushdeald/waitingcounts.py
@@ -71,7 +71,7 @@
         self._reports: dict[str, _Received] = {}
         self._totals: dict[str, _Received] = {}
 
-    def take_report(self, vm: str, report: WaitingReport) -> None:
+    def store_report(self, vm: str, report: WaitingReport) -> None:
         """Stores a VM's report; called on the owner."""
         if report.waiting:
             self._reports[vm] = self._received(report.waiting)
@@ -84,14 +84,14 @@
             _sum_by_pool((*self._reported(caller), *self.own_waiting()))
         )
 
-    def take_totals(self, owner: str, totals: WaitingTotals) -> None:
+    def store_totals(self, owner: str, totals: WaitingTotals) -> None:
         """Stores an owner's answer."""
         if totals.waiting:
             self._totals[owner] = self._received(totals.waiting)
         else:
             self._totals.pop(owner, None)
 
-    def others(self, owner: str, own_vm: str, pool: str) -> Waiting:
+    def waiting_elsewhere(self, owner: str, own_vm: str, pool: str) -> Waiting:
         """Returns the requests that wait at other VMs, as known to an owner."""
         if owner == own_vm:
             known = self._reported("")
@@ -126,7 +126,7 @@
         )
 
 
-def is_left(
+def leaves_slot_to_others(
     upstream: records.Upstream,
     running: int,
     free: int,
--- a/packages/daemon/bulrushdeald/waitreports.py
+++ b/packages/daemon/bulrushdeald/waitingreports.py
@@ -7,7 +7,7 @@
 
 from bulrushdeald import services
 from bulrushdeald import topology as topology_lib
-from bulrushdeald import waits as waits_lib
+from bulrushdeald import waitingcounts
 
 # Interval between the reports to an owner. A free slot that is left to others
 # stays empty for about this long at most. With many owners a VM reports to each
@@ -25,20 +25,20 @@
     def topology(self) -> topology_lib.Topology:
         """Returns who owns which upstream now."""
 
-    def is_silent(self, vm: str) -> bool:
-        """Returns whether an owner counts as silent."""
+    def is_unresponsive(self, vm: str) -> bool:
+        """Returns whether an owner counts as unresponsive."""
 
-    def ask_counts(self, owner: str) -> None:
+    def request_counts(self, owner: str) -> None:
         """Schedules a request for an owner's counts."""
 
 
 class WaitReports:
-    """Answers `waits.WaitingReport` messages and sends them on one thread."""
+    """Answers `WaitingReport` messages and sends them on one thread."""
 
     def __init__(
         self,
         peers: services.Peers,
-        waits: waits_lib.Waits,
+        waits: waitingcounts.Waits,
         lock: threading.Lock,
         router: Router,
     ) -> None:
@@ -52,9 +52,9 @@
 
     def start(self) -> None:
         """Registers the message handlers and starts the reporting thread."""
-        self._peers.register_answers(waits_lib.WaitingTotals)
+        self._peers.register_answers(waitingcounts.WaitingTotals)
         self._peers.register_handler(
-            waits_lib.WaitingReport, services.InlineHandler(self._on_report)
+            waitingcounts.WaitingReport, services.InlineHandler(self._on_report)
         )
         threading.Thread(target=self._run, name="waiting", daemon=True).start()
 
@@ -63,24 +63,24 @@
         self._stopping.set()
         self._has_waiting.set()
 
-    def began(self) -> None:
+    def start_reporting(self) -> None:
         """Starts reporting, since a request waits at this VM."""
         self._has_waiting.set()
 
     def send(self, owner: str) -> None:
         """Reports waiting requests to one owner and stores its answer."""
         with self._lock:
-            report = waits_lib.WaitingReport(self._waits.own_waiting())
+            report = waitingcounts.WaitingReport(self._waits.own_waiting())
         answer = self._peers.call(owner, report, _CALL_TIMEOUT_S)
         if isinstance(answer, result.Ok):
             with self._lock:
-                self._waits.take_totals(owner, answer.ok_value)
+                self._waits.store_totals(owner, answer.ok_value)
 
     def _on_report(
-        self, vm: str, report: waits_lib.WaitingReport
-    ) -> waits_lib.WaitingTotals:
+        self, vm: str, report: waitingcounts.WaitingReport
+    ) -> waitingcounts.WaitingTotals:
         with self._lock:
-            self._waits.take_report(vm, report)
+            self._waits.store_report(vm, report)
             return self._waits.totals(vm)
 
     def _run(self) -> None:
@@ -100,18 +100,18 @@
             waiting = self._waits.own_waiting()
         owners = self._owners_of(waiting)
         for owner in owners | self._reported_owners:
-            if self._router.is_silent(owner):
+            if self._router.is_unresponsive(owner):
                 continue
             self.send(owner)
             if owner in owners:
-                self._router.ask_counts(owner)
+                self._router.request_counts(owner)
         self._reported_owners = owners
         return bool(waiting)
 
     def _owners_of(
-        self, waiting: tuple[waits_lib.Waiting, ...]
+        self, waiting: tuple[waitingcounts.Waiting, ...]
     ) -> frozenset[str]:
-        """Returns the other near owners of upstreams with waiting requests."""
+        """Returns the peer owners of upstreams with waiting requests."""
         topology = self._router.topology()
         upstreams = [
             upstream.upstream
@@ -123,7 +123,7 @@
             for upstream in serving.near
         ]
         owners = {topology.owners.of(name) for name in upstreams}
-        return frozenset(owners & topology.near_owners)
+        return frozenset(owners & topology.peer_owners)
 
     def _interval_s(self) -> float:
         factor = max(1.0, len(self._reported_owners) / _OWNERS_AT_FULL_RATE)
--- a/packages/daemon/bulrushdeald/worker.py
+++ b/packages/daemon/bulrushdeald/worker.py
@@ -247,7 +247,7 @@
             holding,
             ended,
             min(wanted, self._wanted_chunks()),
-            self._models.now(),
+            self._models.current(),
         )
         answer = self._peers.call(vm, report, _CALL_TIMEOUT_S)
         if isinstance(answer, result.Err):
@@ -360,7 +360,7 @@
         self._item_attempts += 1
         if run.ended() > ended:
             run.progress_s = self._clock.monotonic_s()
-            self._models.note(run.items[number].call.model)
+            self._models.mark_usable(run.items[number].call.model)
         if has_ended:
             self._queue_sealing(run)
 
--- a/tests/daemon/test_countlists.py
+++ b/tests/daemon/test_countlists.py
@@ -40,8 +40,8 @@
     for name, count in online.items():
         counts.add_online(name, count)
     report = counts.own_report(here)
-    taken = countlists.Names(there).report(
-        countlists.Names(here).listed(report)
+    taken = countlists.UpstreamNames(there).with_names(
+        countlists.UpstreamNames(here).without_names(report)
     )
     assert taken == (report if here == there else None)
 
@@ -56,8 +56,8 @@
         counts.add_batch(name, count // 2)
     # The list may change between the report and its answer.
     totals = counts.totals(frozenset(there))
-    listed = countlists.Names(here).listed_totals(totals)
-    taken = countlists.Names(here).totals(listed)
+    listed = countlists.UpstreamNames(here).totals_without_names(totals)
+    taken = countlists.UpstreamNames(here).totals_with_names(listed)
     assert taken == (totals if here == there else None)
 
 
@@ -77,7 +77,7 @@
     )
     def report(self, vm: str, online: dict[str, int]) -> None:
         rows = tuple(inflight.Count(*row) for row in online.items())
-        self.counts.take_report(vm, inflight.CountsReport(rows))
+        self.counts.store_report(vm, inflight.CountsReport(rows))
         self.reports[vm] = (self.clock.now_s, online)
 
     @stateful.rule(seconds=st.sampled_from((0.5, 2.5, 5.0, 7.5)))
@@ -130,7 +130,7 @@
     for online in (0, 0, 3):
         for vm in "xy":
             rows = (inflight.Count("a", online),)
-            counts.take_report(vm, inflight.CountsReport(rows))
+            counts.store_report(vm, inflight.CountsReport(rows))
     assert counts.known_online("a") == 6
 
 
@@ -160,8 +160,8 @@
         router.start()
         routers[vm.vm] = router
     reporting, owning = routers["vm-a"], routers["vm-b"]
-    owned = reporting.topology().by_owner["vm-b"]
-    assert owned != owning.topology().by_owner["vm-b"]
+    owned = reporting.topology().upstreams_by_owner["vm-b"]
+    assert owned != owning.topology().upstreams_by_owner["vm-b"]
 
     for _ in range(12):
         work = services.PlacementRequest(
@@ -184,7 +184,7 @@
     configs["vm-b"].all_upstreams = rows
     for callback in configs["vm-b"].callbacks:
         callback()
-    assert owning.topology().by_owner["vm-b"] == owned
+    assert owning.topology().upstreams_by_owner["vm-b"] == owned
     clock.sleep_s(inflightreports.UNKNOWN_LIST_S)
     reporting.send_report_to("vm-b")
     assert not any(differences().values())
@@ -228,13 +228,13 @@
     def topology(self) -> topology.Topology:
         return self._topology
 
-    def set_silent(self, vm: str, is_silent: bool) -> None:
+    def set_unresponsive(self, vm: str, is_unresponsive: bool) -> None:
         pass
 
-    def is_silent(self, vm: str) -> bool:
+    def is_unresponsive(self, vm: str) -> bool:
         return False
 
-    def took_report(self, upstreams: Iterable[str]) -> None:
+    def on_counts_changed(self, upstreams: Iterable[str]) -> None:
         pass
 
 
@@ -245,7 +245,7 @@
     # in 2 of 22 runs.
     network = DelayingPeers()
     counts = inflight.Inflight(clock_lib.FakeClock())
-    reports = inflightreports.Reports(
+    reports = inflightreports.CountReports(
         network,
         counts,
         threading.Lock(),
--- a/tests/daemon/test_crashnotices.py
+++ b/tests/daemon/test_crashnotifier.py
@@ -9,7 +9,7 @@
 
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
-from bulrushdeald import crashnotices
+from bulrushdeald import crashnotifier
 from bulrushdeald import quarantine
 
 _SLOW_S = 0.05
@@ -55,7 +55,7 @@
         records.Vm("vm2", domain, "entry", "h:2"),
     )
     membership: Any = _Membership(rows)
-    notices = crashnotices.CrashNotices(
+    notices = crashnotifier.CrashNotices(
         peers,
         membership,
         quarantine.Quarantine(clock_lib.FakeClock()),
--- a/tests/daemon/test_router.py
+++ b/tests/daemon/test_router.py
@@ -62,7 +62,9 @@
                 # Keeps the router from starting reporting threads: a thread
                 # may build a report before the test sends a newer one, and
                 # deliver the older report last.
-                vars(router._inflight_reports)["_open"] = lambda owner: None
+                vars(router._inflight_reports)["_start_reporting"] = (
+                    lambda owner: None
+                )
             self.routers[vm.vm] = router
 
     def cut_owner_off(self, upstream: str) -> tuple[str, str]:
@@ -353,7 +355,7 @@
     router = fleet.routers[other]
     router.send_reports()
     assert "e1" not in router.topology().owned
-    fleet.clock.sleep_s(inflightreports.SILENT_AFTER_S)
+    fleet.clock.sleep_s(inflightreports.UNRESPONSIVE_AFTER_S)
     router.send_reports()
     assert "e1" in router.topology().owned
     placed = [take(router, work("batch")) for _ in range(2 * SLOTS)]
@@ -371,11 +373,11 @@
     owner, other = fleet.cut_owner_off("e1")
     router = fleet.routers[other]
     router.send_reports()
-    fleet.clock.sleep_s(inflightreports.SILENT_AFTER_S)
+    fleet.clock.sleep_s(inflightreports.UNRESPONSIVE_AFTER_S)
     router.send_reports()
-    assert router.is_silent(owner)
+    assert router.is_unresponsive(owner)
     for membership in fleet.memberships:
         membership.vms = tuple(vm for vm in membership.vms if vm.vm != owner)
-    assert router.topology().near_owners == frozenset()
-    assert not router.is_silent(owner)
+    assert router.topology().peer_owners == frozenset()
+    assert not router.is_unresponsive(owner)
     fleet.stop()
