--- a/packages/bench/bench/control.py
+++ b/packages/bench/bench/control.py
@@ -246,7 +246,7 @@
         rows[name] = rows[name]._replace(weight=self._random.uniform(1, 9))
         page = page._replace(customers=tuple(rows[n] for n in sorted(rows)))
         put = node.keyvalue.put(key, pages.encode(page), entry.revision)
-        node.config.adopt(key, put.unwrap(), page)
+        node.config.put_written_page(key, put.unwrap(), page)
         waiting = list(self._nodes)
         while waiting:
             waiting = [
--- a/packages/bench/bench/pagecost.py
+++ b/packages/bench/bench/pagecost.py
@@ -75,10 +75,10 @@
     first, *rest = page.customers
     changed_page = page._replace(customers=(first._replace(weight=7.0), *rest))
     held = pageset.PageSet()
-    held.offer(key, 1, page)
+    held.put_if_newer(key, 1, page)
     change = pages.diff(key, page, 1, changed_page, 2)
     start_s = time.process_time()
-    held.change(change)
+    held.apply_change(change)
     change_s = time.process_time() - start_s
     return PageRow(
         customers,
@@ -96,7 +96,7 @@
     tracemalloc.start()
     held = pageset.PageSet()
     for key, value in stored.items():
-        held.offer(key, 1, pages.decode(value))
+        held.put_if_newer(key, 1, pages.decode(value))
     gc.collect()
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/packages/bench/bench/staticvm.py
+++ b/packages/bench/bench/staticvm.py
@@ -109,7 +109,7 @@
             model for row in self.upstreams() for model in row.models
         )
 
-    def plain_services(self) -> frozenset[str]:
+    def plain_service_names(self) -> frozenset[str]:
         """See `services.Config`."""
         return frozenset(row.service for row in self.upstreams())
 
--- a/packages/daemon/bulrushdeald/config.py
+++ b/packages/daemon/bulrushdeald/config.py
@@ -154,9 +154,9 @@
         """See `services.Config`."""
         return self._page_set.models
 
-    def plain_services(self) -> frozenset[str]:
+    def plain_service_names(self) -> frozenset[str]:
         """See `services.Config`."""
-        return self._page_set.plain_services
+        return self._page_set.plain_service_names
 
     def authenticate(
         self, key: str
@@ -202,13 +202,15 @@
         """See `services.Config`."""
         self._page_set.on_change(callback)
 
-    def adopt(self, key: str, revision: int, page: pages.Page) -> None:
+    def put_written_page(
+        self, key: str, revision: int, page: pages.Page
+    ) -> None:
         """Puts a page in force that this VM has written to the platform.
 
         Also pushes the change to peers: when this VM's own watch returns the
         page, it is in force already and is not pushed.
         """
-        before = self._page_set.offer(key, revision, page)
+        before = self._page_set.put_if_newer(key, revision, page)
         if before is None:
             return
         self._page_set.notify()
--- a/packages/daemon/bulrushdeald/configfeed.py
+++ b/packages/daemon/bulrushdeald/configfeed.py
@@ -104,7 +104,7 @@
             # A malformed or deleted page must not empty the table.
             _log.error("Kept the last %s: %s", entry.key, error)
             return None
-        previous = self._page_set.offer(entry.key, entry.revision, page)
+        previous = self._page_set.put_if_newer(entry.key, entry.revision, page)
         if previous is None:
             return None
         return pages.diff(
--- a/packages/daemon/bulrushdeald/configgossip.py
+++ b/packages/daemon/bulrushdeald/configgossip.py
@@ -224,7 +224,7 @@
                 return False
             fetched: configsync.FetchedPages = answer.unwrap()
             for page in fetched.pages:
-                self._page_set.offer(page.key, page.revision, page.page)
+                self._page_set.put_if_newer(page.key, page.revision, page.page)
             if self._page_set.keys_older_than(revisions) == older:
                 return False
             self._page_set.notify()
@@ -235,7 +235,7 @@
         applied = tuple(
             change
             for change in message.changes
-            if self._page_set.change(change) is not None
+            if self._page_set.apply_change(change) is not None
         )
         if applied:
             self._page_set.notify()
--- a/packages/daemon/bulrushdeald/configroutes.py
+++ b/packages/daemon/bulrushdeald/configroutes.py
@@ -12,13 +12,13 @@
 from bulrushdeal import records
 from bulrushdeald import config as config_lib
 from bulrushdeald import configstatus
-from bulrushdeald import edits
+from bulrushdeald import customertable
 from bulrushdeald import membership as membership_lib
+from bulrushdeald import operatorhttp
+from bulrushdeald import pageeditor
+from bulrushdeald import pageedits
 from bulrushdeald import pages
-from bulrushdeald import replies
-from bulrushdeald import rewrites
 from bulrushdeald import services
-from bulrushdeald import table
 
 _CUSTOMERS = "/v1/customers"
 _TABLE = "/v1/table.csv"
@@ -41,7 +41,7 @@
         self._keyvalue = keyvalue
         self._limits = limits
         self._config = config
-        self._editor = edits.Editor(keyvalue, config)
+        self._editor = pageeditor.Editor(keyvalue, config)
 
     def list_customers(self, request: httpd.Request) -> httpd.Response:
         """Responds with all rows, each with the revision of its page."""
@@ -59,21 +59,21 @@
 
     def put_customer(self, request: httpd.Request) -> httpd.Response:
         """Adds or replaces a whole row."""
-        body = replies.body_object(request)
+        body = operatorhttp.body_object(request)
         expected = body.pop("expected_revision", None)
         name = _name_in_path(request, _CUSTOMERS)
         if body.setdefault("customer", name) != name:
-            raise replies.BadRequestError(
+            raise operatorhttp.BadRequestError(
                 "The path names another customer.", "customer"
             )
-        checked = table.check_row(body)
+        checked = customertable.check_row(body)
         if checked.is_err():
-            return replies.table_errors((checked.unwrap_err(),))
+            return operatorhttp.table_errors((checked.unwrap_err(),))
         row = checked.unwrap()
-        revision = replies.revision(expected, "expected_revision")
+        revision = operatorhttp.revision(expected, "expected_revision")
         edited = self._editor.edit(
             pages.customer_key(row.customer),
-            rewrites.put_customer(
+            pageedits.put_customer(
                 row, revision, self._initial_tokens_if_new(row)
             ),
         )
@@ -89,26 +89,26 @@
 
     def patch_customer(self, request: httpd.Request) -> httpd.Response:
         """Changes one cell unless it has changed since the operator saw it."""
-        body = replies.body_object(request)
+        body = operatorhttp.body_object(request)
         column = body.get("column", "")
-        checked = table.check_cell(column, body.get("value"))
+        checked = customertable.check_cell(column, body.get("value"))
         if checked.is_err():
-            return replies.table_errors((checked.unwrap_err(),))
+            return operatorhttp.table_errors((checked.unwrap_err(),))
         expected_value = body.get("expected_value")
-        expected_revision = replies.revision(
+        expected_revision = operatorhttp.revision(
             body.get("expected_revision"), "expected_revision"
         )
         if expected_value is None and expected_revision is None:
-            raise replies.BadRequestError(
+            raise operatorhttp.BadRequestError(
                 "Give expected_value or expected_revision, as you saw them.",
                 "expected_value",
             )
         if expected_value is not None:
-            seen = table.check_cell(column, expected_value)
+            seen = customertable.check_cell(column, expected_value)
             if seen.is_err():
-                return replies.table_errors((seen.unwrap_err(),))
+                return operatorhttp.table_errors((seen.unwrap_err(),))
             expected_value = seen.unwrap()
-        change = edits.CellEdit(
+        change = pageeditor.CellEdit(
             _name_in_path(request, _CUSTOMERS),
             column,
             checked.unwrap(),
@@ -116,7 +116,7 @@
             expected_revision,
         )
         edited = self._editor.edit(
-            pages.customer_key(change.customer), rewrites.set_cell(change)
+            pages.customer_key(change.customer), pageedits.set_cell(change)
         )
         return _edit_response(
             edited, {"customer": change.customer, column: change.value}
@@ -126,7 +126,7 @@
         """Removes a row and withdraws its keys."""
         name = _name_in_path(request, _CUSTOMERS)
         edited = self._editor.edit(
-            pages.customer_key(name), rewrites.delete_customer(name)
+            pages.customer_key(name), pageedits.delete_customer(name)
         )
         return _edit_response(edited, {"customer": name})
 
@@ -134,11 +134,13 @@
         """Creates a customer's key; only this response contains the key."""
         name = _name_in_path(request, _CUSTOMERS)
         if not name.endswith("/keys"):
-            return replies.error(404, "not_found", "There is no such route.")
-        label = replies.body_object(request).get("label", "")
+            return operatorhttp.error(
+                404, "not_found", "There is no such route."
+            )
+        label = operatorhttp.body_object(request).get("label", "")
         is_text = isinstance(label, str) and label.isprintable()
         if not is_text or len(label) > _MAX_LABEL_CHARACTERS:
-            raise replies.BadRequestError(
+            raise operatorhttp.BadRequestError(
                 "A label is a short printable text.",
                 "label",
             )
@@ -147,13 +149,13 @@
             config_lib.hash_key(secret), name.removesuffix("/keys"), label
         )
         edited = self._editor.edit(
-            pages.customer_key(row.customer), rewrites.add_key(row)
+            pages.customer_key(row.customer), pageedits.add_key(row)
         )
         return _edit_response(edited, {"key": secret, **row._asdict()})
 
     def list_keys(self, request: httpd.Request) -> httpd.Response:
         """Responds with all keys, or one customer's, without the secrets."""
-        customer = replies.query(request).get("customer")
+        customer = operatorhttp.query(request).get("customer")
         rows = [
             row._asdict()
             for row in self._config.customer_keys()
@@ -165,7 +167,7 @@
         """Withdraws the only key whose hash begins with the path's prefix."""
         prefix = _name_in_path(request, _KEYS).lower()
         if len(prefix) < _MIN_PREFIX_CHARACTERS:
-            raise replies.BadRequestError(
+            raise operatorhttp.BadRequestError(
                 f"Give {_MIN_PREFIX_CHARACTERS} or more characters of the hash."
             )
         # Another VM may have created the key just now, and this VM may not
@@ -174,16 +176,16 @@
         if not found and self._config.feed.read_all():
             found = self._find_keys(prefix)
         if not found:
-            return replies.error(404, "missing", "There is no such key.")
+            return operatorhttp.error(404, "missing", "There is no such key.")
         if len(found) > 1:
             message = (
                 f"{len(found)} keys have this prefix; give more characters."
             )
-            return replies.error(409, "ambiguous", message)
+            return operatorhttp.error(409, "ambiguous", message)
         row = found[0]._replace(withdrawn=True)
         edited = self._editor.edit(
             pages.customer_key(row.customer),
-            rewrites.withdraw_key(row.key_hash),
+            pageedits.withdraw_key(row.key_hash),
         )
         return _edit_response(edited, row._asdict())
 
@@ -198,7 +200,7 @@
         """Responds with the table as CSV and the configuration's revision."""
         del request
         revision = self._config.revision()
-        data = table.write_csv(self._config.customers()).encode()
+        data = customertable.write_csv(self._config.customers()).encode()
         headers = (
             ("Content-Type", "text/csv; charset=utf-8"),
             ("Content-Length", str(len(data))),
@@ -212,14 +214,14 @@
         With `dry_run=1` the response only lists what would change. The rows
         of a page are changed all together or not at all.
         """
-        query = replies.query(request)
+        query = operatorhttp.query(request)
         try:
-            text = replies.body_bytes(request).decode("utf-8")
+            text = operatorhttp.body_bytes(request).decode("utf-8")
         except UnicodeDecodeError as error:
-            raise replies.BadRequestError(f"Not UTF-8: {error}") from None
-        read = table.read_csv(text)
+            raise operatorhttp.BadRequestError(f"Not UTF-8: {error}") from None
+        read = customertable.read_csv(text)
         if read.is_err():
-            return replies.table_errors(read.unwrap_err())
+            return operatorhttp.table_errors(read.unwrap_err())
         changed = [
             row
             for row in read.unwrap()
@@ -231,14 +233,14 @@
         }
         if query.get("dry_run", "0") not in ("", "0"):
             return httpd.json_response(200, {**body, "dry_run": True})
-        expected = replies.revision(
+        expected = operatorhttp.revision(
             query.get("expected_revision"), "expected_revision"
         )
         problems = self._import_pages(changed, expected)
         if not problems:
             return httpd.json_response(200, body)
         has_only_conflicts = all(row["code"] == "conflict" for row in problems)
-        return replies.error(
+        return operatorhttp.error(
             409 if has_only_conflicts else 503,
             "partial",
             "Some pages were not changed; import the file again.",
@@ -263,7 +265,7 @@
                 initial_tokens for initial_tokens in found if initial_tokens
             )
             edited = self._editor.edit(
-                key, rewrites.put_rows(tuple(page_rows), expected, openings)
+                key, pageedits.put_rows(tuple(page_rows), expected, openings)
             )
             if edited.is_err():
                 error = edited.unwrap_err()
@@ -286,9 +288,11 @@
     def put_upstream(self, request: httpd.Request) -> httpd.Response:
         """Adds or replaces a whole upstream."""
         name = _name_in_path(request, _UPSTREAMS)
-        row = replies.body_message(request, records.Upstream, upstream=name)
+        row = operatorhttp.body_message(
+            request, records.Upstream, upstream=name
+        )
         edited = self._editor.edit(
-            pages.UPSTREAMS_KEY, rewrites.put_upstream(row)
+            pages.UPSTREAMS_KEY, pageedits.put_upstream(row)
         )
         return _edit_response(edited, codec.to_object(row))
 
@@ -296,7 +300,7 @@
         """Removes an upstream."""
         name = _name_in_path(request, _UPSTREAMS)
         edited = self._editor.edit(
-            pages.UPSTREAMS_KEY, rewrites.delete_upstream(name)
+            pages.UPSTREAMS_KEY, pageedits.delete_upstream(name)
         )
         return _edit_response(edited, {"upstream": name})
 
@@ -306,11 +310,11 @@
 
 
 def _edit_response(
-    edited: result.Result[edits.Stored, edits.EditError],
+    edited: result.Result[pageeditor.Stored, pageeditor.EditError],
     body: Mapping[str, Any],
 ) -> httpd.Response:
     if edited.is_err():
-        return replies.edit_error(edited.unwrap_err())
+        return operatorhttp.edit_error(edited.unwrap_err())
     return httpd.json_response(
         200, {**body, "revision": edited.unwrap().revision}
     )
--- a/packages/daemon/bulrushdeald/keyvalue.py
+++ b/packages/daemon/bulrushdeald/keyvalue.py
@@ -67,7 +67,7 @@
         kernel: kernel_lib.Kernel,
         settings: defaults.Settings,
         clock: clock_lib.Clock | None = None,
-        client: platformclient.Caller | None = None,
+        client: platformclient.PlatformApi | None = None,
     ) -> None:
         del kernel
         self._timeout_s = settings.platform_timeout_s
@@ -171,7 +171,10 @@
             self._clock.sleep_s(_RESOLVE_PAUSE_S)
 
     def _delete_outcome(
-        self, key: str, answer: platformclient.Answer, is_repeated: bool
+        self,
+        key: str,
+        answer: platformclient.PlatformResponse,
+        is_repeated: bool,
     ) -> result.Result[None, services.KeyValueError]:
         if answer.status == http.HTTPStatus.OK:
             return result.Ok(None)
@@ -182,7 +185,9 @@
 
     def _send(
         self, write: _Write
-    ) -> result.Result[platformclient.Answer, platformclient.CallError]:
+    ) -> result.Result[
+        platformclient.PlatformResponse, platformclient.CallError
+    ]:
         return self._client.call(
             "put",
             "PUT",
@@ -192,7 +197,7 @@
         )
 
     def _put_outcome(
-        self, write: _Write, answer: platformclient.Answer
+        self, write: _Write, answer: platformclient.PlatformResponse
     ) -> result.Result[int, services.KeyValueError]:
         if answer.status == http.HTTPStatus.OK:
             revision = int(answer.body["revision"])
--- a/packages/daemon/bulrushdeald/modelorders.py
+++ b/packages/daemon/bulrushdeald/modelorders.py
@@ -16,7 +16,6 @@
 from bulrushdeal import metrics as metrics_lib
 from bulrushdeald import config as config_lib
 from bulrushdeald import defaults
-from bulrushdeald import edits
 from bulrushdeald import enginecalls
 from bulrushdeald import fetchpermits
 from bulrushdeald import modelrecords
@@ -25,6 +24,7 @@
 from bulrushdeald import orderer as orderer_lib
 from bulrushdeald import ordertasks
 from bulrushdeald import ordervms
+from bulrushdeald import pageeditor
 from bulrushdeald import servedmodels
 from bulrushdeald import services
 
@@ -80,7 +80,7 @@
             self._membership,
             config,
             calls or enginecalls.EngineCalls(upstreams),
-            servedmodels.ServedModels(edits.Editor(keyvalue, config)),
+            servedmodels.ServedModels(pageeditor.Editor(keyvalue, config)),
             self._metrics,
             self._clock,
         )
--- a/packages/daemon/bulrushdeald/modelroutes.py
+++ b/packages/daemon/bulrushdeald/modelroutes.py
@@ -9,7 +9,7 @@
 from bulrushdeal import codec
 from bulrushdeal import httpd
 from bulrushdeald import modelrecords
-from bulrushdeald import replies
+from bulrushdeald import operatorhttp
 from bulrushdeald import services
 
 _UPSTREAMS = "/v1/upstreams/"
@@ -47,16 +47,18 @@
         """
         upstream = _upstream_name(request)
         if upstream is None:
-            return replies.error(404, "not_found", "There is no such route.")
-        asked = _read_order(replies.body_object(request))
+            return operatorhttp.error(
+                404, "not_found", "There is no such route."
+            )
+        asked = _read_order(operatorhttp.body_object(request))
         rows = {row.upstream: row for row in self._config.upstreams()}
         row = rows.get(upstream)
         if row is None:
             message = f"There is no upstream {upstream!r}."
-            return replies.error(404, "missing", message)
+            return operatorhttp.error(404, "missing", message)
         if row.kind != "engine":
             message = f"{upstream!r} is a plain service and takes no orders."
-            return replies.error(400, "invalid_request", message)
+            return operatorhttp.error(400, "invalid_request", message)
         return self._accept(
             upstream, asked._replace(accepted_wall_s=self._clock.wall_s())
         )
@@ -76,7 +78,7 @@
             except codec.CodecError as error:
                 # Overwriting the record would restart its numbers.
                 message = f"The orders of {upstream!r} are unreadable: {error}"
-                return replies.error(503, "unavailable", message)
+                return operatorhttp.error(503, "unavailable", message)
             same = modelrecords.find_duplicate(record, asked)
             if same is not None:
                 return _accepted(upstream, same)
@@ -85,7 +87,7 @@
                 message = (
                     f"{upstream!r} has {count} open orders; try again later."
                 )
-                return replies.error(409, "full", message)
+                return operatorhttp.error(409, "full", message)
             changed = modelrecords.append_order(record, asked)
             put = self._keyvalue.put(
                 modelrecords.key(upstream),
@@ -98,13 +100,15 @@
                 return _unavailable(put.err_value)
             entry = put.err_value.current
         message = f"The orders of {upstream!r} keep changing; try again."
-        return replies.error(503, "unavailable", message)
+        return operatorhttp.error(503, "unavailable", message)
 
     def get(self, request: httpd.Request) -> httpd.Response:
         """Returns an engine's orders, its state and its target state."""
         upstream = _upstream_name(request)
         if upstream is None:
-            return replies.error(404, "not_found", "There is no such route.")
+            return operatorhttp.error(
+                404, "not_found", "There is no such route."
+            )
         read = self._keyvalue.get(modelrecords.key(upstream))
         if isinstance(read, result.Err):
             return _unavailable(read.err_value)
@@ -130,25 +134,25 @@
     action = body.get("action")
     if action not in _FIELDS:
         allowed = ", ".join(_FIELDS)
-        raise replies.BadRequestError(f"Allowed: {allowed}.", "action")
+        raise operatorhttp.BadRequestError(f"Allowed: {allowed}.", "action")
     for field, value in body.items():
         if field == "action":
             continue
         if field not in _FIELDS[action]:
             message = f"An order to {action} has no field {field!r}."
-            raise replies.BadRequestError(message, field)
+            raise operatorhttp.BadRequestError(message, field)
         is_name = isinstance(value, str) and bool(_NAME.match(value))
         if not is_name and value != "":
-            raise replies.BadRequestError("It is not a valid name.", field)
+            raise operatorhttp.BadRequestError("It is not a valid name.", field)
     required = _REQUIRED[action]
     if not body.get(required):
-        raise replies.BadRequestError("It is required.", required)
+        raise operatorhttp.BadRequestError("It is required.", required)
     if action == "role" and body["role"] not in _ROLES:
         message = f"Allowed: {', '.join(_ROLES)}."
-        raise replies.BadRequestError(message, "role")
+        raise operatorhttp.BadRequestError(message, "role")
     if body.get("base") == body.get("model") and body.get("base"):
         message = "An adapter must not have the name of its model."
-        raise replies.BadRequestError(message, "base")
+        raise operatorhttp.BadRequestError(message, "base")
     return codec.from_plain(modelrecords.Order, {**body, "number": 0})
 
 
@@ -187,9 +191,9 @@
         message = (
             "It is unknown whether the order was accepted; check its state."
         )
-        return replies.error(503, "unknown", f"{message} {error.message}")
+        return operatorhttp.error(503, "unknown", f"{message} {error.message}")
     message = "The platform does not answer; no order was accepted."
-    return replies.error(503, "unavailable", f"{message} {error.message}")
+    return operatorhttp.error(503, "unavailable", f"{message} {error.message}")
 
 
 def add(
--- a/packages/daemon/bulrushdeald/replies.py
+++ b/packages/daemon/bulrushdeald/operatorhttp.py
@@ -6,8 +6,8 @@
 
 from bulrushdeal import codec
 from bulrushdeal import httpd
-from bulrushdeald import edits
-from bulrushdeald import table
+from bulrushdeald import customertable
+from bulrushdeald import pageeditor
 
 _MAX_BODY_BYTES = 20_000_000
 _STATUS_BY_KIND = {
@@ -37,7 +37,7 @@
     return httpd.json_response(status, {"error": body})
 
 
-def edit_error(problem: edits.EditError) -> httpd.Response:
+def edit_error(problem: pageeditor.EditError) -> httpd.Response:
     """Returns the error response to a rejected edit."""
     details: dict[str, Any] = {}
     if problem.column:
@@ -51,7 +51,9 @@
     )
 
 
-def table_errors(problems: tuple[table.TableError, ...]) -> httpd.Response:
+def table_errors(
+    problems: tuple[customertable.TableError, ...],
+) -> httpd.Response:
     """Returns the error response to an invalid table.
 
     The message, line and column are those of the first error.
--- a/packages/daemon/bulrushdeald/operators.py
+++ b/packages/daemon/bulrushdeald/operators.py
@@ -10,7 +10,7 @@
 from bulrushdeal import logs
 from bulrushdeald import configroutes
 from bulrushdeald import defaults
-from bulrushdeald import replies
+from bulrushdeald import operatorhttp
 
 _log = logs.Log("operators")
 _THREADS = 16
@@ -63,21 +63,21 @@
     def _serve(self, request: httpd.Request) -> httpd.Response:
         if not self._is_authorized(request):
             message = "An operator token is required."
-            return replies.error(401, "unauthorized", message)
+            return operatorhttp.error(401, "unauthorized", message)
         request = request._replace(path=_decode_path(request.path))
         handler = self._find_handler(request.method, request.path)
         if handler is None:
             message = f"There is no route {request.method} {request.path}."
-            return replies.error(404, "not_found", message)
+            return operatorhttp.error(404, "not_found", message)
         try:
             return handler(request)
-        except replies.BadRequestError as error:
-            return replies.error(
+        except operatorhttp.BadRequestError as error:
+            return operatorhttp.error(
                 400, "invalid_request", str(error), field=error.field
             )
         except Exception:  # noqa: BLE001 - the operator must get an answer.
             _log.exception("%s %s failed.", request.method, request.path)
-            return replies.error(
+            return operatorhttp.error(
                 500, "internal", "The request failed; see the daemon's log."
             )
 
--- a/packages/daemon/bulrushdeald/edits.py
+++ b/packages/daemon/bulrushdeald/pageeditor.py
@@ -130,7 +130,7 @@
         put = self._keyvalue.put(key, data, stored.revision)
         if put.is_err():
             return result.Err(put.unwrap_err())
-        self._config.adopt(key, put.unwrap(), page)
+        self._config.put_written_page(key, put.unwrap(), page)
         return result.Ok(Stored(page, put.unwrap()))
 
 
--- a/packages/daemon/bulrushdeald/rewrites.py
+++ b/packages/daemon/bulrushdeald/pageedits.py
@@ -6,9 +6,9 @@
 
 from bulrushdeal import codec
 from bulrushdeal import records
-from bulrushdeald import edits
+from bulrushdeald import customertable
+from bulrushdeald import pageeditor
 from bulrushdeald import pages
-from bulrushdeald import table
 
 _ADDRESS = re.compile(r"^[0-9a-zA-Z_.\-]+:[0-9]{1,5}$")
 _SEGMENT = re.compile(r"^[A-Za-z0-9][A-Za-z0-9_.\-]{0,99}$")
@@ -17,14 +17,14 @@
 # the new row. An owner that sees the row even later starts it without tokens.
 _INITIAL_TOKENS_RETENTION_S = 600.0
 
-_RewriteResult = result.Result[pages.Page, edits.EditError]
+_RewriteResult = result.Result[pages.Page, pageeditor.EditError]
 
 
 def put_customer(
     row: records.Customer,
     expected_revision: int | None,
     initial_tokens: records.InitialTokens | None = None,
-) -> edits.Rewrite:
+) -> pageeditor.Rewrite:
     """Returns an edit that adds or replaces a whole row.
 
     Args:
@@ -35,14 +35,14 @@
     """
     openings = () if initial_tokens is None else (initial_tokens,)
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
         held = rows.get(row.customer)
         is_expected = expected_revision in (None, stored.revision) or (
             expected_revision == 0 and held is None
         )
         if not is_expected and held != row:
-            problem = edits.EditError(
+            problem = pageeditor.EditError(
                 "conflict",
                 f"{row.customer!r} was changed by somebody else.",
                 current=codec.to_object(held),
@@ -56,14 +56,14 @@
     return rewrite
 
 
-def set_cell(change: edits.CellEdit) -> edits.Rewrite:
+def set_cell(change: pageeditor.CellEdit) -> pageeditor.Rewrite:
     """Returns an edit of one cell that fails if the cell has changed.
 
     With an expected value, changes of other cells do not matter; with only
     an expected revision, any change of the page is a conflict.
     """
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
         row = rows.get(change.customer)
         if row is None:
@@ -81,7 +81,7 @@
                 f" since revision {change.expected_revision}."
             )
         if not is_expected:
-            problem = edits.EditError(
+            problem = pageeditor.EditError(
                 "conflict",
                 message,
                 change.column,
@@ -90,7 +90,7 @@
                 change.value,
             )
             return result.Err(problem)
-        rows[change.customer] = table.with_cell(
+        rows[change.customer] = customertable.with_cell(
             row, change.column, change.value
         )
         return result.Ok(_with_customers(stored.page, rows))
@@ -98,10 +98,10 @@
     return rewrite
 
 
-def delete_customer(customer: str) -> edits.Rewrite:
+def delete_customer(customer: str) -> pageeditor.Rewrite:
     """Returns an edit that removes a customer and withdraws its keys."""
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         rows = _customers(stored.page)
         if rows.pop(customer, None) is None:
             return result.Err(_missing_error(customer))
@@ -124,7 +124,7 @@
     changed: tuple[records.Customer, ...],
     expected_revision: int | None,
     openings: tuple[records.InitialTokens, ...] = (),
-) -> edits.Rewrite:
+) -> pageeditor.Rewrite:
     """Returns an edit that adds or replaces rows of a page, all or none.
 
     Args:
@@ -135,7 +135,7 @@
         openings: The tokens that new customers start with.
     """
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         held = _customers(stored.page)
         rows = {**held, **{row.customer: row for row in changed}}
         if rows == held:
@@ -149,7 +149,7 @@
                 f"The page was changed since revision {expected_revision}."
             )
             return result.Err(
-                edits.EditError(
+                pageeditor.EditError(
                     "conflict", message, "", expected_revision, stored.revision
                 )
             )
@@ -159,10 +159,10 @@
     return rewrite
 
 
-def add_key(row: records.Key) -> edits.Rewrite:
+def add_key(row: records.Key) -> pageeditor.Rewrite:
     """Returns an edit that adds a key to its customer."""
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         if row.customer not in _customers(stored.page):
             return result.Err(_missing_error(row.customer))
         keys = {key.key_hash: key for key in stored.page.keys}
@@ -172,13 +172,13 @@
     return rewrite
 
 
-def withdraw_key(key_hash: str) -> edits.Rewrite:
+def withdraw_key(key_hash: str) -> pageeditor.Rewrite:
     """Returns an edit that withdraws a key.
 
     The key's row stays, so that the key cannot become valid again.
     """
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         keys = {key.key_hash: key for key in stored.page.keys}
         held = keys.get(key_hash)
         if held is None:
@@ -189,10 +189,10 @@
     return rewrite
 
 
-def put_upstream(row: records.Upstream) -> edits.Rewrite:
+def put_upstream(row: records.Upstream) -> pageeditor.Rewrite:
     """Returns an edit that adds or replaces a whole upstream."""
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         problem = _check_upstream(row)
         if problem is not None:
             return result.Err(problem)
@@ -203,10 +203,10 @@
     return rewrite
 
 
-def delete_upstream(upstream: str) -> edits.Rewrite:
+def delete_upstream(upstream: str) -> pageeditor.Rewrite:
     """Returns an edit that removes an upstream."""
 
-    def rewrite(stored: edits.Stored) -> _RewriteResult:
+    def rewrite(stored: pageeditor.Stored) -> _RewriteResult:
         rows = {held.upstream: held for held in stored.page.upstreams}
         if rows.pop(upstream, None) is None:
             return result.Err(_missing_error(upstream))
@@ -215,24 +215,28 @@
     return rewrite
 
 
-def _check_upstream(row: records.Upstream) -> edits.EditError | None:
+def _check_upstream(row: records.Upstream) -> pageeditor.EditError | None:
     if not _SEGMENT.match(row.upstream):
         message = "A name has letters, digits, dots, dashes and underscores."
-        return edits.EditError("invalid", message, "upstream")
+        return pageeditor.EditError("invalid", message, "upstream")
     if not _ADDRESS.match(row.address):
-        return edits.EditError("invalid", "An address is HOST:PORT.", "address")
+        return pageeditor.EditError(
+            "invalid", "An address is HOST:PORT.", "address"
+        )
     if row.slots < 1:
-        return edits.EditError(
+        return pageeditor.EditError(
             "invalid", "An upstream has at least one slot.", "slots"
         )
     if not row.failure_domain:
         message = "A failure domain is required."
-        return edits.EditError("invalid", message, "failure_domain")
+        return pageeditor.EditError("invalid", message, "failure_domain")
     if row.kind == "engine" and not row.models:
-        return edits.EditError("invalid", "An engine serves a model.", "models")
+        return pageeditor.EditError(
+            "invalid", "An engine serves a model.", "models"
+        )
     if row.kind == "plain" and not _SEGMENT.match(row.service):
         message = "The name of a plain service is a URL path segment."
-        return edits.EditError("invalid", message, "service")
+        return pageeditor.EditError("invalid", message, "service")
     return None
 
 
@@ -283,5 +287,5 @@
     return page._replace(upstreams=tuple(rows[name] for name in sorted(rows)))
 
 
-def _missing_error(name: str) -> edits.EditError:
-    return edits.EditError("missing", f"There is no {name!r}.")
+def _missing_error(name: str) -> pageeditor.EditError:
+    return pageeditor.EditError("missing", f"There is no {name!r}.")
--- a/packages/daemon/bulrushdeald/pages.py
+++ b/packages/daemon/bulrushdeald/pages.py
@@ -159,7 +159,7 @@
     return tuple(sorted(set(old) - set(new)))
 
 
-def apply(page: Page, change: Change) -> Page:
+def apply_change(page: Page, change: Change) -> Page:
     """Returns the page with a change applied; checks no revision."""
     customers = {row.customer: row for row in page.customers}
     customers.update({row.customer: row for row in change.rows.customers})
@@ -177,10 +177,10 @@
         upstreams.pop(name, None)
     for name in change.gone_openings:
         openings.pop(name, None)
-    return make(customers, keys, upstreams, openings)
+    return make_page(customers, keys, upstreams, openings)
 
 
-def make(
+def make_page(
     customers: dict[str, records.Customer],
     keys: dict[str, records.Key],
     upstreams: dict[str, records.Upstream],
--- a/packages/daemon/bulrushdeald/pageset.py
+++ b/packages/daemon/bulrushdeald/pageset.py
@@ -35,7 +35,7 @@
         upstreams: Rows by name.
         upstream_rows: The rows of `upstreams` in order of name.
         models: The names of all models that an upstream serves.
-        plain_services: The names of all plain services.
+        plain_service_names: The names of all plain services.
     """
 
     def __init__(self) -> None:
@@ -53,9 +53,9 @@
         self.upstreams: dict[str, records.Upstream] = {}
         self.upstream_rows: tuple[records.Upstream, ...] = ()
         self.models: frozenset[str] = frozenset()
-        self.plain_services: frozenset[str] = frozenset()
+        self.plain_service_names: frozenset[str] = frozenset()
 
-    def offer(
+    def put_if_newer(
         self, key: str, revision: int, page: pages.Page
     ) -> VersionedPage | None:
         """Puts a page in force if its revision is higher than the current one.
@@ -112,11 +112,11 @@
         self.models = frozenset(
             model for row in self.upstream_rows for model in row.models
         )
-        self.plain_services = frozenset(
+        self.plain_service_names = frozenset(
             row.service for row in self.upstream_rows if row.service
         )
 
-    def change(self, change: pages.Change) -> VersionedPage | None:
+    def apply_change(self, change: pages.Change) -> VersionedPage | None:
         """Applies a change if its base is the revision in force.
 
         Returns:
@@ -125,12 +125,12 @@
         held = self._pages.get(change.key)
         if held is None or held.revision != change.base_revision:
             return None
-        page = pages.apply(held.page, change)
+        page = pages.apply_change(held.page, change)
         # Without this check a wrong change would leave two VMs with different
         # rows at the same revision, which comparisons could never detect.
         if pages.digest(pages.encode(page)) != change.digest:
             return None
-        return self.offer(change.key, change.revision, page)
+        return self.put_if_newer(change.key, change.revision, page)
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Registers a callback that each `notify` runs."""
--- a/packages/daemon/bulrushdeald/peers.py
+++ b/packages/daemon/bulrushdeald/peers.py
@@ -15,7 +15,7 @@
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeal import logs
 from bulrushdeal import records
-from bulrushdeald import answerpool
+from bulrushdeald import handlerpool
 from bulrushdeald import links
 from bulrushdeald import services
 from bulrushdeald import websocket
@@ -93,7 +93,7 @@
         self._backoffs: dict[str, _Backoff] = {}
         self._addresses = _Addresses((), {})
         self._accepted: set[websocket.Connection] = set()
-        self._pool = answerpool.Pool()
+        self._pool = handlerpool.Pool()
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
@@ -339,7 +339,7 @@
         hello = codec.from_plain(wire.Hello, frame.fields)
         connection.send(wire.pack(-frame.request_id, self._hello))
         connection.use_idle_timeout()
-        requests = answerpool.RequestQueue(self._pool)
+        requests = handlerpool.RequestQueue(self._pool)
         while (data := connection.receive()) is not None:
             self._traffic.received(len(data))
             request = wire.unpack(data)
--- a/packages/daemon/bulrushdeald/plainservices.py
+++ b/packages/daemon/bulrushdeald/plainservices.py
@@ -109,7 +109,7 @@
         service = urllib.parse.unquote(segment)
         if (
             not path.startswith(PREFIX)
-            or service not in self._config.plain_services()
+            or service not in self._config.plain_service_names()
         ):
             return result.Err(
                 refusals.not_found(f"There is no service {service!r}.")
--- a/packages/daemon/bulrushdeald/platformclient.py
+++ b/packages/daemon/bulrushdeald/platformclient.py
@@ -14,7 +14,7 @@
 _SERVER_ERROR = 500
 
 
-class Answer(NamedTuple):
+class PlatformResponse(NamedTuple):
     """The platform's answer to a call.
 
     Attributes:
@@ -41,7 +41,7 @@
     message: str
 
 
-class Caller(Protocol):
+class PlatformApi(Protocol):
     """Sends calls to the platform."""
 
     def call(
@@ -53,7 +53,7 @@
         body: bytes | None = None,
         wait_s: float = 0.0,
         etag: str = "",
-    ) -> result.Result[Answer, CallError]:
+    ) -> result.Result[PlatformResponse, CallError]:
         """Sends one call.
 
         Args:
@@ -76,7 +76,7 @@
 
 
 class PlatformClient:
-    """Calls the platform over pooled connections; see `Caller`."""
+    """Calls the platform over pooled connections; see `PlatformApi`."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         host, _, port = address.rpartition(":")
@@ -99,8 +99,8 @@
         body: bytes | None = None,
         wait_s: float = 0.0,
         etag: str = "",
-    ) -> result.Result[Answer, CallError]:
-        """See `Caller`."""
+    ) -> result.Result[PlatformResponse, CallError]:
+        """See `PlatformApi`."""
         with self._lock:
             self._calls[kind] += 1
         if fields:
@@ -126,7 +126,7 @@
 
     def _read(
         self, response: urllib3.BaseHTTPResponse
-    ) -> result.Result[Answer, CallError]:
+    ) -> result.Result[PlatformResponse, CallError]:
         if response.status == http.HTTPStatus.TOO_MANY_REQUESTS:
             return self._fail("not_sent", "The platform rate-limited the call.")
         if response.status >= _SERVER_ERROR:
@@ -139,20 +139,20 @@
                 "lost", "The platform's answer is not a JSON object."
             )
         etag = response.headers.get("ETag", "")
-        return result.Ok(Answer(response.status, body, etag))
+        return result.Ok(PlatformResponse(response.status, body, etag))
 
     def _fail(
         self, kind: Literal["not_sent", "lost"], message: str
-    ) -> result.Result[Answer, CallError]:
+    ) -> result.Result[PlatformResponse, CallError]:
         with self._lock:
             self._errors[kind] += 1
         return result.Err(CallError(kind, message))
 
     def close(self) -> None:
-        """See `Caller`."""
+        """See `PlatformApi`."""
         self._pool.close()
 
     def dump(self) -> dict[str, dict[str, int]]:
-        """See `Caller`."""
+        """See `PlatformApi`."""
         with self._lock:
             return {"calls": dict(self._calls), "errors": dict(self._errors)}
--- a/packages/daemon/bulrushdeald/servedmodels.py
+++ b/packages/daemon/bulrushdeald/servedmodels.py
@@ -10,16 +10,16 @@
 import result
 
 from bulrushdeal import records
-from bulrushdeald import edits
+from bulrushdeald import pageeditor
 from bulrushdeald import pages
 
-Edited = result.Result[edits.Stored, edits.EditError]
+Edited = result.Result[pageeditor.Stored, pageeditor.EditError]
 
 
 class ServedModels:
     """Edits the `models` of upstreams' rows."""
 
-    def __init__(self, editor: edits.Editor) -> None:
+    def __init__(self, editor: pageeditor.Editor) -> None:
         self._editor = editor
 
     def set_served(
@@ -43,10 +43,10 @@
         """
 
         def rewrite(
-            stored: edits.Stored,
-        ) -> result.Result[pages.Page, edits.EditError]:
+            stored: pageeditor.Stored,
+        ) -> result.Result[pages.Page, pageeditor.EditError]:
             if not is_allowed():
-                problem = edits.EditError(
+                problem = pageeditor.EditError(
                     "conflict", "Another VM has taken the order over."
                 )
                 return result.Err(problem)
--- a/packages/daemon/bulrushdeald/services.py
+++ b/packages/daemon/bulrushdeald/services.py
@@ -220,7 +220,7 @@
     def models(self) -> frozenset[str]:
         """Returns the models that at least one engine serves."""
 
-    def plain_services(self) -> frozenset[str]:
+    def plain_service_names(self) -> frozenset[str]:
         """Returns the names of all plain services."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/tests/daemon/test_config.py
+++ b/tests/daemon/test_config.py
@@ -11,9 +11,9 @@
 from bulrushdeal import clock as clock_lib
 from bulrushdeal import records
 from bulrushdeald import config
-from bulrushdeald import edits
+from bulrushdeald import pageeditor
+from bulrushdeald import pageedits
 from bulrushdeald import pages
-from bulrushdeald import rewrites
 from support import controlplane
 from support import fakes
 from support import platformfakes
@@ -103,10 +103,10 @@
     vms = ConfigVms(0.0)
     for vm in ("b", "c"):
         vms.clients[vm].is_cut = True
-    editor = edits.Editor(vms.clients["a"], vms.configs["a"])
+    editor = pageeditor.Editor(vms.clients["a"], vms.configs["a"])
     row = records.Customer(CUSTOMER, burst=3.0)
     page_key = pages.customer_key(CUSTOMER)
-    editor.edit(page_key, rewrites.put_customer(row, None)).unwrap()
+    editor.edit(page_key, pageedits.put_customer(row, None)).unwrap()
     assert vms.configs["b"].customer(CUSTOMER) == row
     assert vms.configs["c"].customer(CUSTOMER) == row
 
--- a/tests/daemon/test_config_machine.py
+++ b/tests/daemon/test_config_machine.py
@@ -16,9 +16,9 @@
 from bulrushdeal import records
 from bulrushdeald import config
 from bulrushdeald import configsync
-from bulrushdeald import edits
+from bulrushdeald import pageeditor
+from bulrushdeald import pageedits
 from bulrushdeald import pages
-from bulrushdeald import rewrites
 from support import controlplane
 from support import fakes
 from support import machines
@@ -75,8 +75,8 @@
         for key in PAGES:
             self.seen.pop((vm, key), None)
 
-    def edit(self, vm: str, customer: str, rewrite: edits.Rewrite) -> Any:
-        editor = edits.Editor(self.clients[vm], self.configs[vm])
+    def edit(self, vm: str, customer: str, rewrite: pageeditor.Rewrite) -> Any:
+        editor = pageeditor.Editor(self.clients[vm], self.configs[vm])
         return editor.edit(pages.customer_key(customer), rewrite)
 
     def kind(self, edited: Any) -> str:
@@ -86,7 +86,7 @@
     def change_rate(self, vm: str, customer: str, rate: int) -> None:
         row = records.Customer(customer, rate_per_s=float(rate))
         kind = self.kind(
-            self.edit(vm, customer, rewrites.put_customer(row, None))
+            self.edit(vm, customer, pageedits.put_customer(row, None))
         )
         if kind == "ok":
             self.rates[customer] = {row.rate_per_s}
@@ -97,14 +97,14 @@
     def add_key(self, vm: str, customer: str) -> None:
         secret = f"secret-{len(self.secrets)}"
         row = records.Key(config.hash_key(secret), customer, "")
-        if self.kind(self.edit(vm, customer, rewrites.add_key(row))) == "ok":
+        if self.kind(self.edit(vm, customer, pageedits.add_key(row))) == "ok":
             self.secrets.append((secret, customer))
 
     @stateful.precondition(lambda self: self.secrets)
     @stateful.rule(vm=vms, data=st.data())
     def withdraw(self, vm: str, data: Any) -> None:
         secret, customer = data.draw(st.sampled_from(self.secrets))
-        rewrite = rewrites.withdraw_key(config.hash_key(secret))
+        rewrite = pageedits.withdraw_key(config.hash_key(secret))
         kind = self.kind(self.edit(vm, customer, rewrite))
         if kind == "ok":
             self.withdrawn.add(secret)
@@ -153,7 +153,7 @@
         """Offers a page that was stored some time ago."""
         key, revision = data.draw(st.sampled_from(sorted(self.store.history)))
         page = pages.decode(self.store.history[key, revision])
-        self.configs[vm].adopt(key, revision, page)
+        self.configs[vm].put_written_page(key, revision, page)
 
     @stateful.rule(vm=vms)
     def restart(self, vm: str) -> None:
--- a/tests/daemon/test_table.py
+++ b/tests/daemon/test_customertable.py
@@ -5,10 +5,10 @@
 import pytest
 
 from bulrushdeal import records
-from bulrushdeald import table
+from bulrushdeald import customertable
 
 names = st.text(min_size=1, max_size=100).filter(
-    lambda name: table.check_name(name).is_ok()
+    lambda name: customertable.check_name(name).is_ok()
 )
 numbers = st.floats(0.001, 1e6)
 rows = st.builds(records.Customer, names, *([numbers] * 4))
@@ -18,13 +18,13 @@
 def test_exported_table_is_imported_unchanged(
     given_rows: list[records.Customer],
 ) -> None:
-    text = table.write_csv(tuple(given_rows))
-    assert table.read_csv(text).unwrap() == tuple(given_rows)
+    text = customertable.write_csv(tuple(given_rows))
+    assert customertable.read_csv(text).unwrap() == tuple(given_rows)
 
 
 @given(st.text())
 def test_any_text_is_read_or_rejected_with_a_line(text: str) -> None:
-    read = table.read_csv(text)
+    read = customertable.read_csv(text)
     if read.is_err():
         assert all(error.line >= 0 for error in read.unwrap_err())
 
@@ -50,13 +50,13 @@
     ],
 )
 def test_errors_name_line_and_column(text: str, line: int, column: str) -> None:
-    first = table.read_csv(text).unwrap_err()[0]
+    first = customertable.read_csv(text).unwrap_err()[0]
     assert (first.line, first.column) == (line, column)
 
 
 def test_all_errors_are_reported_and_blank_lines_ignored() -> None:
     text = "\ufeff" + HEADER + "\nkamau,1,a,b,4\n\nwanjiru,c,2,3,4\n"
-    found = table.read_csv(text).unwrap_err()
+    found = customertable.read_csv(text).unwrap_err()
     assert [(e.line, e.column) for e in found] == [
         (3, "rate_per_s"),
         (5, "weight"),
@@ -66,4 +66,4 @@
 def test_columns_may_be_in_any_order() -> None:
     text = "burst,customer,weight,batch_weight,rate_per_s\n5,台灣,1,2,3\n"
     row = records.Customer("台灣", 1.0, 3.0, 5.0, 2.0)
-    assert table.read_csv(text).unwrap() == (row,)
+    assert customertable.read_csv(text).unwrap() == (row,)
--- a/tests/daemon/test_keyvalue.py
+++ b/tests/daemon/test_keyvalue.py
@@ -71,14 +71,18 @@
             answer = self.put(body or b"", expected)
         else:
             held = self.space.get(parse.unquote(path.removeprefix("/v1/kv/")))
-            answer = platformclient.Answer(200 if held else 404, row(held))
+            answer = platformclient.PlatformResponse(
+                200 if held else 404, row(held)
+            )
         return lost if event in ("delayed", "lost") else result.Ok(answer)
 
-    def put(self, body: bytes, expected: int) -> platformclient.Answer:
+    def put(
+        self, body: bytes, expected: int
+    ) -> platformclient.PlatformResponse:
         revision, held = self.space.put(KEY, body, expected)
         if revision:
-            return platformclient.Answer(200, {"revision": revision})
-        return platformclient.Answer(409, row(held))
+            return platformclient.PlatformResponse(200, {"revision": revision})
+        return platformclient.PlatformResponse(409, row(held))
 
     def close(self) -> None:
         return None
@@ -108,7 +112,7 @@
         return done
 
 
-def client(caller: platformclient.Caller) -> keyvalue.HttpKeyValue:
+def client(caller: platformclient.PlatformApi) -> keyvalue.HttpKeyValue:
     return keyvalue.HttpKeyValue(
         kernel_lib.Kernel(),
         controlplane.settings("127.0.0.1:1"),
--- a/tests/daemon/test_mixed.py
+++ b/tests/daemon/test_mixed.py
@@ -45,7 +45,7 @@
 
 from bulrushdeal import records
 from bulrushdeald import config
-from bulrushdeald import rewrites
+from bulrushdeald import pageedits
 from daemon import test_batchmachine
 from support import machines
 from support import mixedchecks
@@ -184,18 +184,18 @@
         if vm is None:
             return
         row = records.Customer(customer, rate_per_s=rate_per_s, burst=burst)
-        self.fleet.edit(vm, customer, rewrites.put_customer(row, None))
+        self.fleet.edit(vm, customer, pageedits.put_customer(row, None))
 
     @stateful.rule(number=VMS, customer=customers)
     def withdraw(self, number: int, customer: str) -> None:
         vm, old = self.awake(number), self.fleet.secrets_of(customer)[-1]
         if vm is None:
             return
-        added = rewrites.add_key(self.fleet.new_key(customer))
+        added = pageedits.add_key(self.fleet.new_key(customer))
         if self.fleet.edit(vm, customer, added) != "ok":
             self.fleet.customers_by_key.popitem()
             return
-        withdrawn = rewrites.withdraw_key(config.hash_key(old))
+        withdrawn = pageedits.withdraw_key(config.hash_key(old))
         if self.fleet.edit(vm, customer, withdrawn) == "ok":
             self.withdrawn_s[old] = self.fleet.world.now_s
 
--- a/tests/daemon/test_modelroutes.py
+++ b/tests/daemon/test_modelroutes.py
@@ -11,7 +11,7 @@
 from bulrushdeald import enginecalls
 from bulrushdeald import modelrecords
 from bulrushdeald import modelroutes
-from bulrushdeald import replies
+from bulrushdeald import operatorhttp
 from bulrushdeald import upstreams
 from standins import engine as engine_lib
 from standins import orderdesk
@@ -143,7 +143,7 @@
     ],
 )
 def test_bad_order_names_the_field(body: Any, field: str) -> None:
-    with pytest.raises(replies.BadRequestError) as caught:
+    with pytest.raises(operatorhttp.BadRequestError) as caught:
         Operators().call("POST", "e0", body)
     assert caught.value.field == field
 
--- a/tests/daemon/test_edits.py
+++ b/tests/daemon/test_pageeditor.py
@@ -13,9 +13,9 @@
 
 from bulrushdeal import records
 from bulrushdeald import config
-from bulrushdeald import edits
+from bulrushdeald import pageeditor
+from bulrushdeald import pageedits
 from bulrushdeald import pages
-from bulrushdeald import rewrites
 from support import controlplane
 from support import fakes
 from support import platformfakes
@@ -42,13 +42,13 @@
             pool=platformfakes.InlineExecutor(),
         )
         self.config.attach()
-        self.editor = edits.Editor(self.client, self.config)
+        self.editor = pageeditor.Editor(self.client, self.config)
 
     def set_cell(
         self, name: str, column: str, value: float, seen: float
     ) -> Any:
-        change = edits.CellEdit(name, column, value, seen, None)
-        return self.editor.edit(KEY, rewrites.set_cell(change))
+        change = pageeditor.CellEdit(name, column, value, seen, None)
+        return self.editor.edit(KEY, pageedits.set_cell(change))
 
 
 def stored(store: platformfakes.Store) -> dict[str, records.Customer]:
@@ -69,7 +69,7 @@
     one, other = OperatorVm(store, "vm-1"), OperatorVm(store, "vm-2")
     for name in NAMES:
         row = records.Customer(name, weight=1.0, burst=1.0)
-        one.editor.edit(KEY, rewrites.put_customer(row, 0)).unwrap()
+        one.editor.edit(KEY, pageedits.put_customer(row, 0)).unwrap()
     expected_cells = {(n, c): 1.0 for n in NAMES for c in ("weight", "burst")}
 
     def submit(vm: OperatorVm, cell: Any, value: float, seen: float) -> None:
@@ -104,9 +104,9 @@
     fast = records.Customer(NAMES[0], rate_per_s=7.0)
     slow = records.Customer(NAMES[0], rate_per_s=8.0)
     one.client.before_put = lambda: other.editor.edit(
-        KEY, rewrites.put_customer(fast, 0)
+        KEY, pageedits.put_customer(fast, 0)
     ).unwrap()
-    lost = one.editor.edit(KEY, rewrites.put_customer(slow, 0)).unwrap_err()
+    lost = one.editor.edit(KEY, pageedits.put_customer(slow, 0)).unwrap_err()
     assert (lost.kind, lost.current["rate_per_s"]) == ("conflict", 7.0)
     assert stored(store)[NAMES[0]] == fast
 
@@ -115,10 +115,10 @@
     store = platformfakes.Store()
     vm = OperatorVm(store, "vm-1")
     row = records.Customer(NAMES[0], burst=1.0)
-    at = vm.editor.edit(KEY, rewrites.put_customer(row, 0)).unwrap().revision
+    at = vm.editor.edit(KEY, pageedits.put_customer(row, 0)).unwrap().revision
     for value, kind in ((2.0, "accepted"), (3.0, "conflict")):
-        change = edits.CellEdit(NAMES[0], "burst", value, None, at)
-        edited = vm.editor.edit(KEY, rewrites.set_cell(change))
+        change = pageeditor.CellEdit(NAMES[0], "burst", value, None, at)
+        edited = vm.editor.edit(KEY, pageedits.set_cell(change))
         if kind == "conflict":
             assert edited.unwrap_err().current == 2.0
         assert stored(store)[NAMES[0]].burst == 2.0
@@ -133,13 +133,13 @@
     vm.config.feed.read_all()
     row = records.Customer(NAMES[0])
     key = records.Key(config.hash_key("secret"), NAMES[0], "")
-    for rewrite in (rewrites.put_customer(row, 0), rewrites.add_key(key)):
+    for rewrite in (pageedits.put_customer(row, 0), pageedits.add_key(key)):
         vm.editor.edit(KEY, rewrite).unwrap()
     assert vm.config.authenticate("secret").is_ok()
     for rewrite in (
-        rewrites.delete_customer(NAMES[0]),
-        rewrites.put_customer(row, 0),
-        rewrites.add_key(key),
+        pageedits.delete_customer(NAMES[0]),
+        pageedits.put_customer(row, 0),
+        pageedits.add_key(key),
     ):
         vm.editor.edit(KEY, rewrite).unwrap()
     assert vm.config.authenticate("secret").is_err()
@@ -151,7 +151,7 @@
     vm = OperatorVm(store, "vm-1")
     vm.client.put(KEY, b"from the future", 0).unwrap()
     row = records.Customer(NAMES[0])
-    error = vm.editor.edit(KEY, rewrites.put_customer(row, None)).unwrap_err()
+    error = vm.editor.edit(KEY, pageedits.put_customer(row, None)).unwrap_err()
     assert error.kind == "unavailable"
     held = store.keyspace.get(KEY)
     assert held is not None
@@ -172,15 +172,15 @@
         assert held is not None
         return pages.decode(held.value).openings
 
-    make = rewrites.put_customer(row, 0, initial_tokens)
+    make = pageedits.put_customer(row, 0, initial_tokens)
     assert vm.editor.edit(KEY, make).is_ok()
     assert openings() == (initial_tokens,)
-    key = rewrites.add_key(records.Key("hash", NAMES[0], ""))
+    key = pageedits.add_key(records.Key("hash", NAMES[0], ""))
     assert vm.editor.edit(KEY, key).is_ok()
     assert vm.config.initial_tokens(NAMES[0]) == initial_tokens
-    gone = rewrites.delete_customer(NAMES[0])
+    gone = pageedits.delete_customer(NAMES[0])
     assert vm.editor.edit(KEY, gone).is_ok()
-    again = rewrites.put_rows((row,), None, (later,))
+    again = pageedits.put_rows((row,), None, (later,))
     assert vm.editor.edit(KEY, again).is_ok()
     assert openings() == ()
     assert vm.config.initial_tokens(NAMES[0]) is None
--- a/tests/daemon/test_pageset.py
+++ b/tests/daemon/test_pageset.py
@@ -31,7 +31,7 @@
     def page(
         customers: list[records.Customer], keys: list[records.Key]
     ) -> pages.Page:
-        return pages.make(
+        return pages.make_page(
             {row.customer: row for row in customers},
             {row.key_hash: row for row in keys},
             {},
@@ -54,10 +54,10 @@
         before = page_set.revisions()[0]
         page = history[revision]
         if is_whole:
-            page_set.offer(KEY, revision, page)
+            page_set.put_if_newer(KEY, revision, page)
         else:
             base = data.draw(st.integers(0, revision - 1))
-            page_set.change(
+            page_set.apply_change(
                 pages.diff(KEY, history[base], base, page, revision)
             )
         current = page_set.versioned_page(KEY)
@@ -85,9 +85,9 @@
     whole page.
     """
     row = records.Customer("a")
-    page = pages.make({"a": row}, {}, {})
+    page = pages.make_page({"a": row}, {}, {})
     change = pages.diff(KEY, pages.Page(), 0, page, 1)
     page_set = pageset.PageSet()
     wrong = change._replace(rows=pages.Page((row._replace(weight=9.0),)))
-    assert page_set.change(wrong) is None
-    assert page_set.change(change) is not None
+    assert page_set.apply_change(wrong) is None
+    assert page_set.apply_change(change) is not None
--- a/tests/daemon/test_websocket.py
+++ b/tests/daemon/test_websocket.py
@@ -14,7 +14,7 @@
 from websockets import client
 from websockets import uri
 
-from bulrushdeald import answerpool
+from bulrushdeald import handlerpool
 from bulrushdeald import websocket
 
 _MAX_BYTES = 1000
@@ -165,7 +165,7 @@
 
 
 def test_a_slow_handler_does_not_block_another_connection() -> None:
-    pool = answerpool.Pool()
+    pool = handlerpool.Pool()
     go_on = threading.Event()
     done: list[int] = []
     all_done = threading.Semaphore(0)
@@ -175,8 +175,8 @@
         done.append(number)
         all_done.release()
 
-    busy = answerpool.RequestQueue(pool)
-    room = answerpool.MAX_CONCURRENT + answerpool.MAX_QUEUED
+    busy = handlerpool.RequestQueue(pool)
+    room = handlerpool.MAX_CONCURRENT + handlerpool.MAX_QUEUED
     taken = [
         busy.submit(lambda number=number: job(number))  # type: ignore[misc]
         for number in range(room + 1)
@@ -184,7 +184,7 @@
     # The last one is refused, because the queue is bounded.
     assert taken == [True] * room + [False]
     ran = threading.Event()
-    assert answerpool.RequestQueue(pool).submit(ran.set)
+    assert handlerpool.RequestQueue(pool).submit(ran.set)
     assert ran.wait(_LONG_S)
     assert not done
     go_on.set()
@@ -195,8 +195,8 @@
 def test_jobs_run_while_idle_threads_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(answerpool, "IDLE_S", 0.001)
-    pool = answerpool.Pool()
+    monkeypatch.setattr(handlerpool, "IDLE_S", 0.001)
+    pool = handlerpool.Pool()
     for _ in range(200):
         # The thread ends or takes the next job, whichever comes first.
         ran = threading.Event()
@@ -205,8 +205,8 @@
 
 
 def test_a_failed_job_does_not_block_the_queue() -> None:
-    requests = answerpool.RequestQueue(answerpool.Pool())
-    for _ in range(2 * answerpool.MAX_CONCURRENT):
+    requests = handlerpool.RequestQueue(handlerpool.Pool())
+    for _ in range(2 * handlerpool.MAX_CONCURRENT):
         assert requests.submit(lambda: 1 // 0)  # type: ignore[arg-type]
     ran = threading.Event()
     assert requests.submit(ran.set)
--- a/tests/support/mixedfleet.py
+++ b/tests/support/mixedfleet.py
@@ -10,7 +10,7 @@
 from bench import limitfakes
 from bulrushdeal import records
 from bulrushdeald import config
-from bulrushdeald import edits
+from bulrushdeald import pageeditor
 from bulrushdeald import pages
 from bulrushdeald import services
 from support import limitoracle
@@ -159,7 +159,7 @@
             self.keyvalue.put(name, pages.encode(page), 0)
 
     def edit(
-        self, vm: mixedvm.MixedVm, customer: str, rewrite: edits.Rewrite
+        self, vm: mixedvm.MixedVm, customer: str, rewrite: pageeditor.Rewrite
     ) -> str:
         """Edits a customer's configuration page from a VM.
 
@@ -167,7 +167,7 @@
             `ok`, or the kind of the error.
         """
         key = pages.customer_key(customer)
-        edited = edits.Editor(vm.keyvalue, vm.config).edit(key, rewrite)
+        edited = pageeditor.Editor(vm.keyvalue, vm.config).edit(key, rewrite)
         self.update_buckets()
         return "ok" if edited.is_ok() else edited.unwrap_err().kind
 
--- a/tests/support/orderfakes.py
+++ b/tests/support/orderfakes.py
@@ -10,13 +10,13 @@
 from bulrushdeal import metrics as metrics_lib
 from bulrushdeal import records
 from bulrushdeald import defaults
-from bulrushdeald import edits
 from bulrushdeald import enginecalls
 from bulrushdeald import fetchpermits
 from bulrushdeald import modelorders
 from bulrushdeald import modelrecords
 from bulrushdeald import orderer
 from bulrushdeald import ordervms
+from bulrushdeald import pageeditor
 from bulrushdeald import pages
 from bulrushdeald import rendezvous
 from bulrushdeald import servedmodels
@@ -171,7 +171,9 @@
     def upstreams(self) -> tuple[records.Upstream, ...]:
         return self._site.page().upstreams
 
-    def adopt(self, key: str, revision: int, page: pages.Page) -> None: ...
+    def put_written_page(
+        self, key: str, revision: int, page: pages.Page
+    ) -> None: ...
 
 
 class VmClock:
@@ -282,7 +284,7 @@
             self.membership,
             config,
             FakeCalls(site),
-            servedmodels.ServedModels(edits.Editor(self.keyvalue, config)),
+            servedmodels.ServedModels(pageeditor.Editor(self.keyvalue, config)),
             metrics_lib.NoMetrics(),
             self.clock,
         )
