--- a/packages/daemon/bulrushdeald/limits.py
+++ b/packages/daemon/bulrushdeald/limits.py
@@ -232,7 +232,7 @@
         self._rows.reload(self._ownership.owned)
 
     def refresh(self) -> None:
-        """Reads the records now and adopts the parts assigned to this VM.
+        """Reads the records now and takes on the parts assigned to this VM.
 
         If the platform does not answer and no record is known, the records
         are requested from peers.
