--- a/packages/bench/bench/staticvm.py
+++ b/packages/bench/bench/staticvm.py
@@ -109,7 +109,7 @@
             model for row in self.upstreams() for model in row.models
         )
 
-    def plain_services(self) -> frozenset[str]:
+    def plain_service_names(self) -> frozenset[str]:
         """See `services.Config`."""
         return frozenset(row.service for row in self.upstreams())
 
@@ -192,10 +192,10 @@
         self.lock = threading.Lock()
         self.held: list[StaticSlot] = []
         self.outcomes: list[services.Outcome] = []
-        self.works: list[services.Work] = []
+        self.works: list[services.PlacementRequest] = []
 
     def acquire(
-        self, work: services.Work
+        self, work: services.PlacementRequest
     ) -> result.Result[StaticSlot, services.Refusal]:
         """See `services.Router`."""
         rows = [
@@ -229,7 +229,7 @@
         self._own = records.Vm(vm, "nairobi-1", "entry")
         self._unlisted = unlisted
 
-    def own(self) -> records.Vm:
+    def own_vm(self) -> records.Vm:
         """See `services.Membership`."""
         return self._own
 
--- a/packages/daemon/bulrushdeald/config.py
+++ b/packages/daemon/bulrushdeald/config.py
@@ -18,7 +18,7 @@
 from bulrushdeald import pages
 from bulrushdeald import pageset
 from bulrushdeald import services
-from bulrushdeald import watchers
+from bulrushdeald import watcherchoice
 
 # The age of the configuration is reset each time a watch returns, so this
 # timeout bounds the age that a watcher reports.
@@ -154,9 +154,9 @@
         """See `services.Config`."""
         return self._page_set.models
 
-    def plain_services(self) -> frozenset[str]:
+    def plain_service_names(self) -> frozenset[str]:
         """See `services.Config`."""
-        return self._page_set.plain_services
+        return self._page_set.plain_service_names
 
     def authenticate(
         self, key: str
@@ -189,7 +189,7 @@
         age_s = self.gossip.age_s()
         return age_s < 0 or age_s > self._max_age_s
 
-    def opening(self, customer: str) -> records.Opening | None:
+    def initial_tokens(self, customer: str) -> records.InitialTokens | None:
         """See `services.Config`."""
         return self._page_set.openings.get(customer)
 
@@ -202,13 +202,15 @@
         """See `services.Config`."""
         self._page_set.on_change(callback)
 
-    def adopt(self, key: str, revision: int, page: pages.Page) -> None:
+    def put_written_page(
+        self, key: str, revision: int, page: pages.Page
+    ) -> None:
         """Puts a page in force that this VM has written to the platform.
 
         Also pushes the change to peers: when this VM's own watch returns the
         page, it is in force already and is not pushed.
         """
-        before = self._page_set.offer(key, revision, page)
+        before = self._page_set.put_if_newer(key, revision, page)
         if before is None:
             return
         self._page_set.notify()
@@ -221,8 +223,8 @@
         The VMs chosen in each failure domain do, and so does a VM that has
         had no contact with a peer for some seconds.
         """
-        own = self._membership.own()
-        chosen = watchers.choose(
+        own = self._membership.own_vm()
+        chosen = watcherchoice.choose_watchers(
             self._membership.entry_vms(), own.failure_domain
         )
         is_chosen = own.vm in chosen
--- a/packages/daemon/bulrushdeald/pageset.py
+++ b/packages/daemon/bulrushdeald/pageset.py
@@ -31,11 +31,11 @@
         is_ready: Whether every page was received, so that this VM may serve.
         customers: Rows by name.
         keys: Keys by hash, including withdrawn ones.
-        openings: The openings of recently added customers, by name.
+        openings: The initial tokens of recently added customers, by name.
         upstreams: Rows by name.
         upstream_rows: The rows of `upstreams` in order of name.
         models: The names of all models that an upstream serves.
-        plain_services: The names of all plain services.
+        plain_service_names: The names of all plain services.
     """
 
     def __init__(self) -> None:
@@ -49,13 +49,13 @@
         self.is_ready = False
         self.customers: dict[str, records.Customer] = {}
         self.keys: dict[str, records.Key] = {}
-        self.openings: dict[str, records.Opening] = {}
+        self.openings: dict[str, records.InitialTokens] = {}
         self.upstreams: dict[str, records.Upstream] = {}
         self.upstream_rows: tuple[records.Upstream, ...] = ()
         self.models: frozenset[str] = frozenset()
-        self.plain_services: frozenset[str] = frozenset()
+        self.plain_service_names: frozenset[str] = frozenset()
 
-    def offer(
+    def put_if_newer(
         self, key: str, revision: int, page: pages.Page
     ) -> VersionedPage | None:
         """Puts a page in force if its revision is higher than the current one.
@@ -79,8 +79,8 @@
 
     def _index(self, old: pages.Page, new: pages.Page) -> None:
         # New rows are added before old ones are removed, so that a concurrent
-        # reader never misses a row that stays. Openings are added before
-        # customers, since a reader that finds a customer looks up its opening.
+        # reader never misses a row that stays. Initial tokens are added before
+        # customers, since a reader that finds a customer looks up its tokens.
         self.openings.update({row.customer: row for row in new.openings})
         self.customers.update({row.customer: row for row in new.customers})
         self.keys.update({row.key_hash: row for row in new.keys})
@@ -90,9 +90,9 @@
             if customer.customer not in kept_customers:
                 self.customers.pop(customer.customer, None)
         kept_openings = {row.customer for row in new.openings}
-        for opening in old.openings:
-            if opening.customer not in kept_openings:
-                self.openings.pop(opening.customer, None)
+        for initial_tokens in old.openings:
+            if initial_tokens.customer not in kept_openings:
+                self.openings.pop(initial_tokens.customer, None)
         kept_keys = {row.key_hash for row in new.keys}
         for key in old.keys:
             if key.key_hash not in kept_keys:
@@ -112,11 +112,11 @@
         self.models = frozenset(
             model for row in self.upstream_rows for model in row.models
         )
-        self.plain_services = frozenset(
+        self.plain_service_names = frozenset(
             row.service for row in self.upstream_rows if row.service
         )
 
-    def change(self, change: pages.Change) -> VersionedPage | None:
+    def apply_change(self, change: pages.Change) -> VersionedPage | None:
         """Applies a change if its base is the revision in force.
 
         Returns:
@@ -125,12 +125,12 @@
         held = self._pages.get(change.key)
         if held is None or held.revision != change.base_revision:
             return None
-        page = pages.apply(held.page, change)
+        page = pages.apply_change(held.page, change)
         # Without this check a wrong change would leave two VMs with different
         # rows at the same revision, which comparisons could never detect.
         if pages.digest(pages.encode(page)) != change.digest:
             return None
-        return self.offer(change.key, change.revision, page)
+        return self.put_if_newer(change.key, change.revision, page)
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Registers a callback that each `notify` runs."""
--- a/packages/daemon/bulrushdeald/peers.py
+++ b/packages/daemon/bulrushdeald/peers.py
@@ -15,7 +15,7 @@
 from bulrushdeal import kernel as kernel_lib
 from bulrushdeal import logs
 from bulrushdeal import records
-from bulrushdeald import answerpool
+from bulrushdeald import handlerpool
 from bulrushdeald import links
 from bulrushdeald import services
 from bulrushdeald import websocket
@@ -93,7 +93,7 @@
         self._backoffs: dict[str, _Backoff] = {}
         self._addresses = _Addresses((), {})
         self._accepted: set[websocket.Connection] = set()
-        self._pool = answerpool.Pool()
+        self._pool = handlerpool.Pool()
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
@@ -110,7 +110,7 @@
         self._membership = self._kernel.find(
             services.MEMBERSHIP, services.Membership
         )
-        own = self._membership.own()
+        own = self._membership.own_vm()
         self._hello = wire.Hello(
             own.vm, self._membership.incarnation(), own.failure_domain
         )
@@ -160,12 +160,12 @@
                 **self._traffic.dump(),
             }
 
-    def handle(self, kind: type[Any], handler: Handler) -> None:
+    def register_handler(self, kind: type[Any], handler: Handler) -> None:
         """See `services.Peers`."""
         self._message_types.add(kind)
         self._handlers[kind.__name__] = handler
 
-    def understand(self, *kinds: type[Any]) -> None:
+    def register_answers(self, *kinds: type[Any]) -> None:
         """See `services.Peers`."""
         self._message_types.add(*kinds)
 
@@ -339,7 +339,7 @@
         hello = codec.from_plain(wire.Hello, frame.fields)
         connection.send(wire.pack(-frame.request_id, self._hello))
         connection.use_idle_timeout()
-        requests = answerpool.RequestQueue(self._pool)
+        requests = handlerpool.RequestQueue(self._pool)
         while (data := connection.receive()) is not None:
             self._traffic.received(len(data))
             request = wire.unpack(data)
@@ -347,7 +347,7 @@
                 self._answer_request, connection, hello.vm, request
             )
             handler = self._handlers.get(request.kind)
-            if isinstance(handler, services.QuickHandler):
+            if isinstance(handler, services.InlineHandler):
                 job()
             elif not requests.submit(job):
                 refusal = wire.Refused("too many requests are waiting")
--- a/packages/daemon/bulrushdeald/plainservices.py
+++ b/packages/daemon/bulrushdeald/plainservices.py
@@ -109,7 +109,7 @@
         service = urllib.parse.unquote(segment)
         if (
             not path.startswith(PREFIX)
-            or service not in self._config.plain_services()
+            or service not in self._config.plain_service_names()
         ):
             return result.Err(
                 refusals.not_found(f"There is no service {service!r}.")
@@ -169,9 +169,11 @@
             )
         return result.Ok(_PlainBody(body.ok_value, body.ok_value))
 
-    def _work(self, plain: _PlainRequest, call: calls.Call) -> services.Work:
+    def _work(
+        self, plain: _PlainRequest, call: calls.Call
+    ) -> services.PlacementRequest:
         work_class: records.WorkClass = "online"
-        return services.Work(
+        return services.PlacementRequest(
             call.customer,
             work_class,
             "",
--- a/packages/daemon/bulrushdeald/worker.py
+++ b/packages/daemon/bulrushdeald/worker.py
@@ -85,7 +85,7 @@
         self._peers = find(services.PEERS, services.Peers)
         self._membership = membership
         self._coordinators = coordinators.Coordinators(membership, self._clock)
-        vm, incarnation = membership.own().vm, membership.incarnation()
+        vm, incarnation = membership.own_vm().vm, membership.incarnation()
         self._claims = claims.Claims(
             keyvalue, stores, self._clock, vm, incarnation
         )
@@ -106,9 +106,11 @@
             self._clock,
             self._settings.batch_item_timeout_s,
         )
-        self._peers.understand(*batchmessages.ANSWERS)
-        self._peers.handle(batchmessages.StopJob, self._on_stop_job)
-        self._peers.handle(batchmessages.HoldQuery, self._on_hold_query)
+        self._peers.register_answers(*batchmessages.ANSWERS)
+        self._peers.register_handler(batchmessages.StopJob, self._on_stop_job)
+        self._peers.register_handler(
+            batchmessages.HoldQuery, self._on_hold_query
+        )
 
     def start(self) -> None:
         """Starts the threads; does nothing more if `batch_threads` is 0."""
@@ -190,7 +192,7 @@
         return max(_MIN_REPORT_PERIOD_S, vms / coordinator.REPORTS_PER_S)
 
     def _wanted_chunks(self) -> int:
-        own = self._membership.own().vm
+        own = self._membership.own_vm().vm
         with self._wake:
             if self._is_stopping or self._membership.is_leaving(own):
                 return 0
@@ -245,7 +247,7 @@
             holding,
             ended,
             min(wanted, self._wanted_chunks()),
-            self._models.now(),
+            self._models.current(),
         )
         answer = self._peers.call(vm, report, _CALL_TIMEOUT_S)
         if isinstance(answer, result.Err):
@@ -358,7 +360,7 @@
         self._item_attempts += 1
         if run.ended() > ended:
             run.progress_s = self._clock.monotonic_s()
-            self._models.note(run.items[number].call.model)
+            self._models.mark_usable(run.items[number].call.model)
         if has_ended:
             self._queue_sealing(run)
 
--- a/tests/daemon/test_limits_faults.py
+++ b/tests/daemon/test_limits_faults.py
@@ -9,8 +9,8 @@
 
 from bench import limitfakes
 from bulrushdeal import records
+from bulrushdeald import limitrecords
 from bulrushdeald import rebalance
-from bulrushdeald import shares
 from support import limitoracle
 
 _NAMES = [f"d{d}v{v}" for d in range(3) for v in range(3)]
@@ -29,8 +29,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.patch = pytest.MonkeyPatch()
-        self.patch.setattr(shares, "PAGES", self.pages)
-        self.patch.setattr(rebalance, "REBALANCE_S", 2.0)
+        self.patch.setattr(limitrecords, "PAGES", self.pages)
+        self.patch.setattr(rebalance, "REBALANCE_INTERVAL_S", 2.0)
 
     def teardown(self) -> None:
         self.patch.undo()
@@ -107,7 +107,7 @@
         owners = {
             part.vm
             for entry in self.fleet.keyvalue.entries.values()
-            for part in shares.from_bytes(entry.value).parts
+            for part in limitrecords.from_bytes(entry.value).parts
         }
         name = self.pick(data, list(owners & set(self.fleet.nodes)))
         if name is None:
@@ -132,7 +132,7 @@
         if name is None:
             return
         self.fleet.nodes[name].limits.refresh()
-        self.fleet.nodes[name].limits.tend()
+        self.fleet.nodes[name].limits.run_maintenance()
 
     @stateful.rule(seconds=st.sampled_from([1, 3, 9, 15]))
     def settle(self, seconds: int) -> None:
@@ -252,7 +252,7 @@
     @stateful.invariant()
     def fractions_are_at_most_one(self) -> None:
         for entry in self.fleet.keyvalue.entries.values():
-            parts = shares.from_bytes(entry.value).parts
+            parts = limitrecords.from_bytes(entry.value).parts
             assert sum(part.fraction for part in parts) <= 1 + 1e-9
 
     @stateful.rule()
@@ -317,7 +317,7 @@
         if not is_early:
             self.fleet.settle(5)
         maker = self.fleet.nodes[names[0]].limits
-        self.opening = maker.opening(self.row)
+        self.initial_tokens = maker.initial_tokens(self.row)
         self.bucket = limitoracle.Bucket(self.row, self.fleet.world.now_s)
 
     def allow(self) -> None:
@@ -334,7 +334,7 @@
         )
 
     def put_in_force(self, node: limitfakes.Node) -> None:
-        node.config.apply(self.row, self.opening)
+        node.config.apply(self.row, self.initial_tokens)
 
 
 TestOpening = OpeningMachine.TestCase
--- a/tests/daemon/test_router.py
+++ b/tests/daemon/test_router.py
@@ -29,8 +29,8 @@
 
 def work(
     work_class: records.WorkClass, fingerprint: str = "", customer: str = "c"
-) -> services.Work:
-    return services.Work(
+) -> services.PlacementRequest:
+    return services.PlacementRequest(
         customer, work_class, "m", "", b"", 10, fingerprint, 0.0
     )
 
@@ -62,7 +62,9 @@
                 # Keeps the router from starting reporting threads: a thread
                 # may build a report before the test sends a newer one, and
                 # deliver the older report last.
-                vars(router._inflight_reports)["_open"] = lambda owner: None
+                vars(router._inflight_reports)["_start_reporting"] = (
+                    lambda owner: None
+                )
             self.routers[vm.vm] = router
 
     def cut_owner_off(self, upstream: str) -> tuple[str, str]:
@@ -82,7 +84,7 @@
 
 
 def take(
-    router: router_lib.UpstreamRouter, wanted: services.Work
+    router: router_lib.UpstreamRouter, wanted: services.PlacementRequest
 ) -> services.Slot | None:
     answer = router.acquire(wanted)
     return answer.unwrap() if isinstance(answer, result.Ok) else None
@@ -247,7 +249,7 @@
     owned = sorted(router.topology().owned)
     assert len(owned) > 1
     for name in owned:
-        resumed = take(router, work("batch")._replace(resumes_at=name))
+        resumed = take(router, work("batch")._replace(resume_upstream=name))
         assert resumed is not None
         assert resumed.upstream.upstream == name
         resumed.release("ok")
@@ -280,13 +282,13 @@
     assert len(on_e1) == SLOTS - RESERVE
     found: list[str] = []
 
-    def wait_for_slot(name: str, wanted: services.Work) -> None:
+    def wait_for_slot(name: str, wanted: services.PlacementRequest) -> None:
         answer = router.acquire(wanted._replace(deadline_s=30.0))
         found.append(f"{name} {answer.unwrap().upstream.upstream}")
 
-    waits: tuple[tuple[str, services.Work], ...] = (
+    waits: tuple[tuple[str, services.PlacementRequest], ...] = (
         ("new", work("batch")),
-        ("yielded", work("batch")._replace(resumes_at="e1")),
+        ("yielded", work("batch")._replace(resume_upstream="e1")),
     )
     threads = []
     for count, (name, wanted) in enumerate(waits, 1):
@@ -353,7 +355,7 @@
     router = fleet.routers[other]
     router.send_reports()
     assert "e1" not in router.topology().owned
-    fleet.clock.sleep_s(inflightreports.SILENT_AFTER_S)
+    fleet.clock.sleep_s(inflightreports.UNRESPONSIVE_AFTER_S)
     router.send_reports()
     assert "e1" in router.topology().owned
     placed = [take(router, work("batch")) for _ in range(2 * SLOTS)]
@@ -371,11 +373,11 @@
     owner, other = fleet.cut_owner_off("e1")
     router = fleet.routers[other]
     router.send_reports()
-    fleet.clock.sleep_s(inflightreports.SILENT_AFTER_S)
+    fleet.clock.sleep_s(inflightreports.UNRESPONSIVE_AFTER_S)
     router.send_reports()
-    assert router.is_silent(owner)
+    assert router.is_unresponsive(owner)
     for membership in fleet.memberships:
         membership.vms = tuple(vm for vm in membership.vms if vm.vm != owner)
-    assert router.topology().near_owners == frozenset()
-    assert not router.is_silent(owner)
+    assert router.topology().peer_owners == frozenset()
+    assert not router.is_unresponsive(owner)
     fleet.stop()
