--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -191,6 +191,16 @@
     assert all(run.last_event > 0 for run in engine.runs[2:])
 
 
+def _items_with_events(vm: gatewayscene.Vm) -> int:
+    """Returns the number of unfinished items that got an event on a VM."""
+    job_runner = vm.kernel.find("runner", runner.Runner)
+    return sum(
+        item.last_event is not None
+        for state in job_runner._table.by_due_time()
+        for item in state.without_result()
+    )
+
+
 def test_a_vm_that_stops_hands_its_items_over_as_far_as_they_came(
     scene: gatewayscene.Scene,
 ) -> None:
@@ -205,6 +215,8 @@
     first.submit("j1", _items(2))
     gatewayscene.until(lambda: engine.open == 2)
     gatewayscene.until(lambda: len(engine.runs) == 2)
+    # An item without an event has nothing to resume after.
+    gatewayscene.until(lambda: _items_with_events(first) == 2)
     scene.vms.remove(first)
     first.kernel.stop(2.0)
     engine.pause_s = 0.0
